--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "proxy/descriptor_budget.hpp"
-#include "proxy/learned_state_names.hpp"
+#include "proxy/endpoint/learned_state_names.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/discovery_client.cpp
+++ b/src/proxy/discovery/client.cpp
@@ -1,4 +1,4 @@
-#include "proxy/discovery_client.hpp"
+#include "proxy/discovery/client.hpp"
 
 #include <sys/epoll.h>
 
--- a/src/proxy/discovery_client.hpp
+++ b/src/proxy/discovery/client.hpp
@@ -13,8 +13,8 @@
 #include "protocol/endpoint_list.hpp"
 #include "protocol/http.hpp"
 #include "protocol/watch_reader.hpp"
+#include "proxy/discovery/watch_pacing.hpp"
 #include "proxy/logger.hpp"
-#include "proxy/watch_pacing.hpp"
 #include "transport/due_times.hpp"
 #include "transport/stream.hpp"
 
--- a/src/proxy/watch_pacing.cpp
+++ b/src/proxy/discovery/watch_pacing.cpp
@@ -1,4 +1,4 @@
-#include "proxy/watch_pacing.hpp"
+#include "proxy/discovery/watch_pacing.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/proxy/downstream_connection.hpp
+++ b/src/proxy/downstream/connection.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <utility>
 
-#include "proxy/downstream_connections.hpp"
+#include "proxy/downstream/connections.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/downstream_connections.cpp
+++ b/src/proxy/downstream/connections.cpp
@@ -1,10 +1,10 @@
-#include "proxy/downstream_connections.hpp"
+#include "proxy/downstream/connections.hpp"
 
 #include <sys/epoll.h>
 
 #include <utility>
 
-#include "proxy/downstream_connection.hpp"
+#include "proxy/downstream/connection.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/downstream_connections.hpp
+++ b/src/proxy/downstream/connections.hpp
@@ -13,7 +13,7 @@
 
 #include "protocol/http.hpp"
 #include "proxy/figures.hpp"
-#include "proxy/shared_message.hpp"
+#include "proxy/request/shared_message.hpp"
 #include "transport/due_times.hpp"
 #include "transport/listener.hpp"
 #include "transport/stream.hpp"
--- a/src/proxy/downstream_requests.cpp
+++ b/src/proxy/downstream/requests.cpp
@@ -5,7 +5,7 @@
 
 #include "protocol/http_writer.hpp"
 #include "protocol/text.hpp"
-#include "proxy/downstream_connection.hpp"
+#include "proxy/downstream/connection.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/downstream_responses.cpp
+++ b/src/proxy/downstream/responses.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "protocol/http_writer.hpp"
-#include "proxy/downstream_connection.hpp"
+#include "proxy/downstream/connection.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/downstream_shedding.cpp
+++ b/src/proxy/downstream/shedding.cpp
@@ -2,7 +2,7 @@
 #include <memory>
 #include <utility>
 
-#include "proxy/downstream_connection.hpp"
+#include "proxy/downstream/connection.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/endpoint_directory.cpp
+++ b/src/proxy/endpoint/directory.cpp
@@ -1,4 +1,4 @@
-#include "proxy/endpoint_directory.hpp"
+#include "proxy/endpoint/directory.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/proxy/endpoint_directory.hpp
+++ b/src/proxy/endpoint/directory.hpp
@@ -9,11 +9,11 @@
 
 #include "policy/policy.hpp"
 #include "protocol/endpoint_list.hpp"
-#include "proxy/endpoint_registry.hpp"
+#include "proxy/endpoint/manual_drains.hpp"
+#include "proxy/endpoint/registry.hpp"
 #include "proxy/logger.hpp"
-#include "proxy/manual_drains.hpp"
 #include "proxy/proxy_settings.hpp"
-#include "proxy/upstreams.hpp"
+#include "proxy/upstream/upstreams.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/learned_state_names.cpp
+++ b/src/proxy/endpoint/learned_state_names.cpp
@@ -1,4 +1,4 @@
-#include "proxy/learned_state_names.hpp"
+#include "proxy/endpoint/learned_state_names.hpp"
 
 #include <string>
 
--- a/src/proxy/learned_state_names.hpp
+++ b/src/proxy/endpoint/learned_state_names.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "policy/types.hpp"
-#include "proxy/endpoint_slots.hpp"
+#include "proxy/endpoint/slots.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/manual_drains.cpp
+++ b/src/proxy/endpoint/manual_drains.cpp
@@ -1,4 +1,4 @@
-#include "proxy/manual_drains.hpp"
+#include "proxy/endpoint/manual_drains.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/endpoint_registry.cpp
+++ b/src/proxy/endpoint/registry.cpp
@@ -1,4 +1,4 @@
-#include "proxy/endpoint_registry.hpp"
+#include "proxy/endpoint/registry.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/proxy/endpoint_slots.cpp
+++ b/src/proxy/endpoint/slots.cpp
@@ -1,4 +1,4 @@
-#include "proxy/endpoint_slots.hpp"
+#include "proxy/endpoint/slots.hpp"
 
 #include <algorithm>
 
--- a/src/proxy/proxy_settings.hpp
+++ b/src/proxy/proxy_settings.hpp
@@ -8,7 +8,7 @@
 
 #include "policy/types.hpp"
 #include "proxy/logger.hpp"
-#include "proxy/request_admission.hpp"
+#include "proxy/request/admission.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/request_admission.cpp
+++ b/src/proxy/request/admission.cpp
@@ -1,4 +1,4 @@
-#include "proxy/request_admission.hpp"
+#include "proxy/request/admission.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/proxy/request_admission.hpp
+++ b/src/proxy/request/admission.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "protocol/http.hpp"
-#include "proxy/request_filter.hpp"
+#include "proxy/request/filter.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request/forwarder.cpp
@@ -1,4 +1,4 @@
-#include "proxy/request_forwarder.hpp"
+#include "proxy/request/forwarder.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/proxy/request_forwarder.hpp
+++ b/src/proxy/request/forwarder.hpp
@@ -12,16 +12,16 @@
 #include <vector>
 
 #include "policy/policy.hpp"
-#include "proxy/downstream_connections.hpp"
-#include "proxy/endpoint_directory.hpp"
+#include "proxy/downstream/connections.hpp"
+#include "proxy/endpoint/directory.hpp"
 #include "proxy/figures.hpp"
 #include "proxy/graceful_shutdown.hpp"
 #include "proxy/logger.hpp"
 #include "proxy/proxy_settings.hpp"
-#include "proxy/request_admission.hpp"
-#include "proxy/request_filter.hpp"
-#include "proxy/request_table.hpp"
-#include "proxy/upstreams.hpp"
+#include "proxy/request/admission.hpp"
+#include "proxy/request/filter.hpp"
+#include "proxy/request/table.hpp"
+#include "proxy/upstream/upstreams.hpp"
 #include "transport/due_times.hpp"
 
 namespace meadowgauge::proxy {
--- a/src/proxy/request_log.cpp
+++ b/src/proxy/request/log.cpp
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "protocol/names.hpp"
-#include "proxy/request_forwarder.hpp"
+#include "proxy/request/forwarder.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/request_table.cpp
+++ b/src/proxy/request/table.cpp
@@ -1,4 +1,4 @@
-#include "proxy/request_table.hpp"
+#include "proxy/request/table.hpp"
 
 #include <algorithm>
 
--- a/src/proxy/upstream_attempt.cpp
+++ b/src/proxy/upstream/attempt.cpp
@@ -1,4 +1,4 @@
-#include "proxy/upstream_attempt.hpp"
+#include "proxy/upstream/attempt.hpp"
 
 #include <algorithm>
 #include <cassert>
--- a/src/proxy/upstream_attempt.hpp
+++ b/src/proxy/upstream/attempt.hpp
@@ -6,8 +6,8 @@
 #include <cstdint>
 
 #include "policy/types.hpp"
-#include "proxy/shared_message.hpp"
-#include "proxy/upstream_request.hpp"
+#include "proxy/request/shared_message.hpp"
+#include "proxy/upstream/request.hpp"
 #include "transport/due_times.hpp"
 
 namespace meadowgauge::proxy {
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream/connection.cpp
@@ -1,4 +1,4 @@
-#include "proxy/upstream_connection.hpp"
+#include "proxy/upstream/connection.hpp"
 
 #include <cassert>
 
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream/connection.hpp
@@ -4,8 +4,8 @@
 #include <cstdint>
 
 #include "policy/types.hpp"
-#include "proxy/shared_message.hpp"
-#include "proxy/upstream_attempt.hpp"
+#include "proxy/request/shared_message.hpp"
+#include "proxy/upstream/attempt.hpp"
 #include "transport/due_times.hpp"
 #include "transport/stream.hpp"
 
--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/upstream/connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "proxy/connection_pool.hpp"
+#include "proxy/upstream/connection_pool.hpp"
 
 #include <algorithm>
 #include <cassert>
--- a/src/proxy/connection_pool.hpp
+++ b/src/proxy/upstream/connection_pool.hpp
@@ -9,10 +9,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "proxy/endpoint_slots.hpp"
-#include "proxy/idle_timeout_estimator.hpp"
+#include "proxy/endpoint/slots.hpp"
 #include "proxy/logger.hpp"
-#include "proxy/upstream_connection.hpp"
+#include "proxy/upstream/connection.hpp"
+#include "proxy/upstream/idle_timeout_estimator.hpp"
 #include "transport/due_times.hpp"
 
 namespace meadowgauge::proxy {
--- a/src/proxy/upstream_exchange.cpp
+++ b/src/proxy/upstream/exchange.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "protocol/names.hpp"
-#include "proxy/upstreams.hpp"
+#include "proxy/upstream/upstreams.hpp"
 
 namespace meadowgauge::proxy {
 
--- a/src/proxy/idle_timeout_estimator.cpp
+++ b/src/proxy/upstream/idle_timeout_estimator.cpp
@@ -1,4 +1,4 @@
-#include "proxy/idle_timeout_estimator.hpp"
+#include "proxy/upstream/idle_timeout_estimator.hpp"
 
 #include <algorithm>
 #include <vector>
--- a/src/proxy/upstream_request.cpp
+++ b/src/proxy/upstream/request.cpp
@@ -1,4 +1,4 @@
-#include "proxy/upstream_request.hpp"
+#include "proxy/upstream/request.hpp"
 
 #include <utility>
 
--- a/src/proxy/upstream_request.hpp
+++ b/src/proxy/upstream/request.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "proxy/shared_message.hpp"
+#include "proxy/request/shared_message.hpp"
 #include "transport/stream.hpp"
 
 namespace meadowgauge::proxy {
--- a/src/proxy/upstreams.cpp
+++ b/src/proxy/upstream/upstreams.cpp
@@ -1,4 +1,4 @@
-#include "proxy/upstreams.hpp"
+#include "proxy/upstream/upstreams.hpp"
 
 #include <sys/epoll.h>
 
--- a/src/proxy/upstreams.hpp
+++ b/src/proxy/upstream/upstreams.hpp
@@ -11,12 +11,12 @@
 #include <vector>
 
 #include "policy/types.hpp"
-#include "proxy/connection_pool.hpp"
-#include "proxy/endpoint_slots.hpp"
+#include "proxy/endpoint/slots.hpp"
 #include "proxy/logger.hpp"
-#include "proxy/shared_message.hpp"
-#include "proxy/upstream_attempt.hpp"
-#include "proxy/upstream_connection.hpp"
+#include "proxy/request/shared_message.hpp"
+#include "proxy/upstream/attempt.hpp"
+#include "proxy/upstream/connection.hpp"
+#include "proxy/upstream/connection_pool.hpp"
 #include "transport/due_times.hpp"
 
 namespace meadowgauge::proxy {
--- a/src/simulator_adapter/instance.hpp
+++ b/src/simulator_adapter/instance.hpp
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "proxy/request_table.hpp"
+#include "proxy/request/table.hpp"
 #include "simulator_adapter/codec.hpp"
 #include "simulator_adapter/wire_messages.hpp"
 #include "transport/due_times.hpp"
--- a/src/simulator_adapter/wire_messages.hpp
+++ b/src/simulator_adapter/wire_messages.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "policy/types.hpp"
-#include "proxy/request_table.hpp"
+#include "proxy/request/table.hpp"
 #include "simulator_adapter/codec.hpp"
 
 namespace meadowgauge::simulator_adapter {
--- a/tests/policy_throttle_test.cpp
+++ b/tests/policy/admission_throttle_test.cpp
@@ -1,7 +1,7 @@
 // The admission throttle: its figures worked out by hand.
 #include <gtest/gtest.h>
 
-#include "policy_test_support.hpp"
+#include "policy/policy_test_support.hpp"
 
 namespace meadowgauge::test {
 namespace {
--- a/tests/class_mix_test.cpp
+++ b/tests/policy/class_mix_test.cpp
@@ -1,5 +1,5 @@
 // No class is left unserved for what the other classes are: in calm, with servers to spare, whatever the mix.
-#include "class_mix.hpp"
+#include "policy/class_mix.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/decision_digest/generated_day.hpp
+++ b/tests/policy/decision_digest/generated_day.hpp
@@ -8,9 +8,9 @@
 #include <utility>
 #include <vector>
 
-#include "decision_digest/cases.hpp"
-#include "decision_digest/digest.hpp"
-#include "decision_digest/model.hpp"
+#include "policy/decision_digest/cases.hpp"
+#include "policy/decision_digest/digest.hpp"
+#include "policy/decision_digest/model.hpp"
 #include "policy/policy.hpp"
 
 namespace meadowgauge::test::decision_digest {
--- a/tests/decision_digest_test.cpp
+++ b/tests/policy/decision_digest_test.cpp
@@ -12,9 +12,9 @@
 
 #include <cstdint>
 
-#include "decision_digest/cases.hpp"
-#include "decision_digest/digest.hpp"
-#include "decision_digest/generated_day.hpp"
+#include "policy/decision_digest/cases.hpp"
+#include "policy/decision_digest/digest.hpp"
+#include "policy/decision_digest/generated_day.hpp"
 
 namespace meadowgauge::test::decision_digest {
 namespace {
--- a/tests/policy_picker_test.cpp
+++ b/tests/policy/endpoint_picker_test.cpp
@@ -3,7 +3,7 @@
 
 #include <map>
 
-#include "policy_test_support.hpp"
+#include "policy/policy_test_support.hpp"
 
 namespace meadowgauge::test {
 namespace {
--- a/tests/policy_affinity_test.cpp
+++ b/tests/policy/key_affinity_test.cpp
@@ -1,7 +1,7 @@
 // Key affinity: which endpoint serves a key.
 #include <gtest/gtest.h>
 
-#include "policy_test_support.hpp"
+#include "policy/policy_test_support.hpp"
 
 namespace meadowgauge::test {
 namespace {
--- a/tests/policy_load_test.cpp
+++ b/tests/policy/load_estimator_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 #include <string>
 
-#include "policy_test_support.hpp"
+#include "policy/policy_test_support.hpp"
 
 namespace meadowgauge::test {
 namespace {
--- a/tests/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "policy_test_support.hpp"
+#include "policy/policy_test_support.hpp"
 
 namespace meadowgauge::test {
 namespace {
--- a/tests/discovery_test.cpp
+++ b/tests/proxy/discovery/discovery_client_test.cpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "proxy/discovery_client.hpp"
+#include "proxy/discovery/client.hpp"
 #include "transport/listener.hpp"
 
 namespace meadowgauge::proxy {
--- a/tests/watch_pacing_test.cpp
+++ b/tests/proxy/discovery/watch_pacing_test.cpp
@@ -1,6 +1,6 @@
 // How balancers that poll one discovery call it, in simulated time: many of them, a discovery of fixed
 // capacity, an outage.
-#include "proxy/watch_pacing.hpp"
+#include "proxy/discovery/watch_pacing.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/proxy_ingress_test.cpp
+++ b/tests/proxy/downstream/downstream_connections_test.cpp
@@ -6,7 +6,7 @@
 #include <variant>
 #include <vector>
 
-#include "proxy/request_admission.hpp"
+#include "proxy/request/admission.hpp"
 
 namespace meadowgauge::proxy {
 namespace {
--- a/tests/endpoint_registry_test.cpp
+++ b/tests/proxy/endpoint/endpoint_registry_test.cpp
@@ -1,7 +1,5 @@
 // What of endpoint lists counts that come late, out of order or from a discovery that counts anew: the
 // registry by itself, with the time handed in.
-#include "proxy/endpoint_registry.hpp"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,6 +9,8 @@
 #include <string>
 #include <vector>
 
+#include "proxy/endpoint/registry.hpp"
+
 namespace meadowgauge::proxy {
 namespace {
 
--- a/tests/request_table_test.cpp
+++ b/tests/proxy/request/request_table_test.cpp
@@ -1,11 +1,11 @@
 // The states of a request in RequestTable: which events move it on, and when it is forgotten.
-#include "proxy/request_table.hpp"
-
 #include <gtest/gtest.h>
 
 #include <string>
 #include <vector>
 
+#include "proxy/request/table.hpp"
+
 namespace meadowgauge::proxy {
 namespace {
 
--- a/tests/idempotency_random_test.cpp
+++ b/tests/proxy/upstream/idempotency_random_test.cpp
@@ -10,10 +10,10 @@
 #include <string>
 
 #include "fixtures/rule_checker.hpp"
-#include "idempotency_judge.hpp"
 #include "protocol/http.hpp"
-#include "proxy/request_table.hpp"
-#include "proxy/upstreams.hpp"
+#include "proxy/request/table.hpp"
+#include "proxy/upstream/idempotency_judge.hpp"
+#include "proxy/upstream/upstreams.hpp"
 
 namespace meadowgauge::test {
 namespace {
--- a/tests/proxy_upstream_test.cpp
+++ b/tests/proxy/upstream/upstream_parts_test.cpp
@@ -7,10 +7,10 @@
 #include <utility>
 #include <vector>
 
-#include "proxy/endpoint_slots.hpp"
-#include "proxy/idle_timeout_estimator.hpp"
-#include "proxy/upstream_attempt.hpp"
-#include "proxy/upstreams.hpp"
+#include "proxy/endpoint/slots.hpp"
+#include "proxy/upstream/attempt.hpp"
+#include "proxy/upstream/idle_timeout_estimator.hpp"
+#include "proxy/upstream/upstreams.hpp"
 #include "transport/listener.hpp"
 
 namespace meadowgauge::proxy {
--- a/tests/upstreams_test.cpp
+++ b/tests/proxy/upstream/upstreams_test.cpp
@@ -1,6 +1,6 @@
 // The upstream connection pool by itself: its endpoint indices, and attempts over connections to a server
 // that the test plays on an event loop of its own.
-#include "proxy/upstreams.hpp"
+#include "proxy/upstream/upstreams.hpp"
 
 #include <gtest/gtest.h>
 #include <sys/socket.h>
--- a/tests/testbed_checker_test.cpp
+++ b/tests/testbed/checker_test.cpp
@@ -1,4 +1,6 @@
 // The checker on histories made by hand: each rule is violated and kept.
+#include "testbed/checker.hpp"
+
 #include <gtest/gtest.h>
 
 #include <string>
@@ -6,8 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "testbed/checker.hpp"
-#include "testbed_fixtures.hpp"
+#include "testbed/fixtures.hpp"
 
 namespace meadowgauge::testbed {
 namespace {
--- a/tests/testbed_day_test.cpp
+++ b/tests/testbed/day_test.cpp
@@ -11,9 +11,9 @@
 
 #include "testbed/comparison.hpp"
 #include "testbed/figures.hpp"
+#include "testbed/fixtures.hpp"
 #include "testbed/report.hpp"
 #include "testbed/runner.hpp"
-#include "testbed_fixtures.hpp"
 
 namespace meadowgauge::testbed {
 namespace {
--- a/tests/testbed_experiment_test.cpp
+++ b/tests/testbed/experiment_test.cpp
@@ -1,4 +1,6 @@
 // Experiment files, the schedule of actions that follows from them, and the lifecycle of a balancer process.
+#include "testbed/experiment.hpp"
+
 #include <gtest/gtest.h>
 
 #include <string>
@@ -6,7 +8,6 @@
 #include <vector>
 
 #include "testbed/balancer_lifecycle.hpp"
-#include "testbed/experiment.hpp"
 #include "testbed/schedule.hpp"
 
 namespace meadowgauge::testbed {
--- a/tests/testbed_fault_injection_test.cpp
+++ b/tests/testbed/fault_injection_test.cpp
@@ -9,9 +9,9 @@
 #include <variant>
 #include <vector>
 
+#include "testbed/fixtures.hpp"
 #include "testbed/model/datagram_fault.hpp"
 #include "testbed/model/fault_injector.hpp"
-#include "testbed_fixtures.hpp"
 
 namespace meadowgauge::testbed {
 namespace {
--- a/tests/testbed_fleet_test.cpp
+++ b/tests/testbed/fleet_test.cpp
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "testbed/figures.hpp"
+#include "testbed/fixtures.hpp"
 #include "testbed/runner.hpp"
-#include "testbed_fixtures.hpp"
 
 namespace meadowgauge::testbed {
 namespace {
--- a/tests/testbed_relay_test.cpp
+++ b/tests/testbed/relay_test.cpp
@@ -1,4 +1,6 @@
 // The relay on sockets: what a client sees of each fault, and the `fault` command.
+#include "testbed/stand_ins/relay.hpp"
+
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -14,10 +16,9 @@
 #include <vector>
 
 #include "testbed/fault_relay.hpp"
+#include "testbed/fixtures.hpp"
 #include "testbed/stand_ins/http_client.hpp"
-#include "testbed/stand_ins/relay.hpp"
 #include "testbed/stand_ins/server.hpp"
-#include "testbed_fixtures.hpp"
 #include "transport/clock.hpp"
 
 namespace meadowgauge::testbed {
--- a/tests/testbed_server_model_test.cpp
+++ b/tests/testbed/server_model_test.cpp
@@ -1,4 +1,6 @@
 // The server model without I/O: admission, faults, deduplication, slow start.
+#include "testbed/model/server_model.hpp"
+
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -6,8 +8,6 @@
 #include <string>
 #include <vector>
 
-#include "testbed/model/server_model.hpp"
-
 namespace meadowgauge::testbed {
 namespace {
 
--- a/tests/testbed_traffic_test.cpp
+++ b/tests/testbed/traffic_test.cpp
@@ -1,4 +1,6 @@
 // What clients do, without I/O: arrivals, retries, the front balancer, and the histogram of latencies.
+#include "testbed/model/traffic.hpp"
+
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -7,11 +9,10 @@
 #include <map>
 #include <vector>
 
+#include "testbed/fixtures.hpp"
 #include "testbed/model/front_balancer.hpp"
 #include "testbed/model/histogram.hpp"
 #include "testbed/model/retry_policy.hpp"
-#include "testbed/model/traffic.hpp"
-#include "testbed_fixtures.hpp"
 
 namespace meadowgauge::testbed {
 namespace {
