--- a/bench/baselines/plain.cpp
+++ b/bench/baselines/plain.cpp
@@ -30,7 +30,7 @@
                        [](const Attempt& f) { return ran_maybe(f); });
   }
 
-  Decision send(Request& v, double now) {
+  Decision send(Request& v, double now_ms) {
     ready.clear();
     for (int tried = 0; tried < 2 && ready.empty(); ++tried)
       for (int i = 0; i < static_cast<int>(state.servers.size()); ++i) {
@@ -41,11 +41,14 @@
                                  [&](const Attempt& f) { return f.endpoint == i; });
         if (usable && (tried == 1 || !again)) ready.push_back(i);
       }
-    if (ready.empty() || v.attempt_count >= max_attempts || now >= v.due) return finish(v);
+    if (ready.empty() || v.attempt_count >= max_attempts || now_ms >= v.deadline_ms) return finish(v);
     EndpointIndex endpoint = baselines::choose(ready, state);
     ++state.servers[static_cast<std::size_t>(endpoint)].in_flight;
-    v.attempts[static_cast<std::size_t>(v.attempt_count++)] = {
-        .endpoint = endpoint, .sent_at = now, .outcome = Outcome::superseded, .held = 1, .in_flight = true};
+    v.attempts[static_cast<std::size_t>(v.attempt_count++)] = {.endpoint = endpoint,
+                                                               .sent_at_ms = now_ms,
+                                                               .outcome = Outcome::superseded,
+                                                               .held = 1,
+                                                               .in_flight = true};
     ++v.in_flight;
     return {.kind = Decision::attempt, .endpoint = endpoint};
   }
@@ -56,7 +59,7 @@
     return {.kind = !idempotent(v) && ran_maybe(v) ? Decision::fail : Decision::reject};
   }
 
-  Decision after(Request& v, const AttemptResult& r, double now) {
+  Decision after(Request& v, const AttemptResult& r, double now_ms) {
     if (r.attempt < 0 || r.attempt >= v.attempt_count ||
         !v.attempts[static_cast<std::size_t>(r.attempt)].in_flight)
       return {};
@@ -73,7 +76,8 @@
     }
     if (v.in_flight > 0) return {};
     bool harmless = idempotent(v) || !ran_maybe(v) || flaws.repeats;
-    if (harmless && v.attempt_count <= most_repeats && r.outcome != Outcome::cancelled) return send(v, now);
+    if (harmless && v.attempt_count <= most_repeats && r.outcome != Outcome::cancelled)
+      return send(v, now_ms);
     return finish(v);
   }
 };
@@ -92,16 +96,16 @@
 Policy& Policy::operator=(Policy&&) noexcept = default;
 Policy::~Policy() = default;
 
-Decision Policy::decide(Request& request, double now) {
+Decision Policy::decide(Request& request, double now_ms) {
   if (request.answered || request.attempt_count > 0) return {};
-  return core_->send(request, now);
+  return core_->send(request, now_ms);
 }
-Decision Policy::attempt_ended(Request& request, const AttemptResult& result, double now) {
-  return core_->after(request, result, now);
+Decision Policy::attempt_ended(Request& request, const AttemptResult& result, double now_ms) {
+  return core_->after(request, result, now_ms);
 }
-AttemptTimeout Policy::attempt_timeout(const Request& request, double now) {
+AttemptTimeout Policy::attempt_timeout(const Request& request, double now_ms) {
   // One that repeats what may have run has to give the first up early for that.
-  double left = std::max(5.0, request.due - now - 10);
+  double left = std::max(5.0, request.deadline_ms - now_ms - 10);
   return {.limit_ms = flaws.repeats ? std::min(left, 60.0) : left};
 }
 // Nothing that may have run is repeated within a group here: none binds where another attempt may go.
@@ -138,8 +142,8 @@
 void Policy::set_manual_drain(int, bool, double) {}
 int Policy::unavailable_endpoints(double, std::vector<int>*) const { return 0; }
 void Policy::gossip_received(const GossipContent&, double) {}
-void Policy::body_complete(Request& request, double due, double) {
-  request.due = due;
+void Policy::body_complete(Request& request, double deadline_ms, double) {
+  request.deadline_ms = deadline_ms;
   request.body_incoming = false;
 }
 LearnedState Policy::learned_state(double) const { return {}; }
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -140,15 +140,15 @@
 
 void Server::tick() {
   closed_.clear();
-  const double now = clock_.now();
+  const double now_ms = clock_.now();
   std::vector<Connection*> all;  // closing takes from connections_
   all.reserve(connections_.size());
   for (auto& [id, connection] : connections_) all.push_back(connection.get());
   for (auto* connection : all) {
-    if (connection->reply_at_ms > 0 && now >= connection->reply_at_ms) {
+    if (connection->reply_at_ms > 0 && now_ms >= connection->reply_at_ms) {
       connection->reply_at_ms = 0;
       flush(*connection);
-    } else if (now >= connection->deadline_ms) {
+    } else if (now_ms >= connection->deadline_ms) {
       close(*connection);
     }
   }
--- a/src/fleet/config_agreement.cpp
+++ b/src/fleet/config_agreement.cpp
@@ -5,21 +5,21 @@
 using membership::MemberStatus;
 
 ConfigAgreement compare_configs(const membership::MemberTable& members, std::uint64_t config_digest,
-                                double now) {
+                                double now_ms) {
   ConfigAgreement agreement;
   for (auto peer : members.members()) {
     if (members.state(peer).config_digest == config_digest) continue;
     agreement.all_agree = false;
-    if (members.status(peer, now) != MemberStatus::gone) agreement.live_member_differs = true;
+    if (members.status(peer, now_ms) != MemberStatus::gone) agreement.live_member_differs = true;
   }
   return agreement;
 }
 
 std::vector<membership::Quota> usable_offer(const membership::MemberTable& members,
                                             membership::PeerIndex peer, std::uint64_t config_digest,
-                                            double now) {
+                                            double now_ms) {
   const auto& state = members.state(peer);
-  bool usable = members.status(peer, now) == MemberStatus::alive && state.config_digest == config_digest;
+  bool usable = members.status(peer, now_ms) == MemberStatus::alive && state.config_digest == config_digest;
   return usable ? state.lendable : std::vector<membership::Quota>{};
 }
 
--- a/src/fleet/config_agreement.hpp
+++ b/src/fleet/config_agreement.hpp
@@ -17,11 +17,11 @@
 
 // `config_digest` is this instance's own.
 ConfigAgreement compare_configs(const membership::MemberTable& members, std::uint64_t config_digest,
-                                double now);
+                                double now_ms);
 
 // What may be borrowed from `peer`: what it offers, as long as it is alive and its file agrees.
 std::vector<membership::Quota> usable_offer(const membership::MemberTable& members,
                                             membership::PeerIndex peer, std::uint64_t config_digest,
-                                            double now);
+                                            double now_ms);
 
 }  // namespace meadowgauge::fleet
--- a/src/fleet/datagram_budget.hpp
+++ b/src/fleet/datagram_budget.hpp
@@ -10,9 +10,9 @@
 class DatagramBudget {
  public:
   // True: one datagram may be sent now, and is counted. `per_s` is the limit in force; `now` in ms.
-  bool try_take(double per_s, double now) {
-    left_ = std::min(per_s, left_ + (now - refilled_at_) * per_s / 1000);
-    refilled_at_ = now;
+  bool try_take(double per_s, double now_ms) {
+    left_ = std::min(per_s, left_ + (now_ms - refilled_at_ms_) * per_s / 1000);
+    refilled_at_ms_ = now_ms;
     if (left_ < 1) {
       ++refused_;
       return false;
@@ -25,7 +25,7 @@
 
  private:
   double left_ = 0;
-  double refilled_at_ = 0;  // by Unix time this is long ago: the first call fills it
+  double refilled_at_ms_ = 0;  // by Unix time this is long ago: the first call fills it
   std::uint64_t refused_ = 0;
 };
 
--- a/src/fleet/outlier_verdicts.hpp
+++ b/src/fleet/outlier_verdicts.hpp
@@ -27,25 +27,25 @@
   explicit OutlierVerdicts(std::string self) : self_(std::move(self)) {}
 
   // This instance had an attempt succeed at `server`.
-  void record_success(ServerId server, double now);
+  void record_success(ServerId server, double now_ms);
   // The servers that this instance's own policy ejects or finds silent now. True: one is new among them.
-  bool record_suspects(const std::vector<ServerId>& servers, double now);
+  bool record_suspects(const std::vector<ServerId>& servers, double now_ms);
 
   // What to report: failing servers first, then good ones that somebody calls failing; the latest seen first.
-  [[nodiscard]] std::vector<membership::ServerObservation> observations(double now) const;
+  [[nodiscard]] std::vector<membership::ServerObservation> observations(double now_ms) const;
   // The share that is failing of the servers that this instance has seen lately, 0 to 1.
-  [[nodiscard]] double unhealthy_share(double now) const;
+  [[nodiscard]] double unhealthy_share(double now_ms) const;
   // Another instance's state has come, made at `made_at`. True: it calls a server failing that it did not
   // before.
   bool merge(const std::string& origin, const std::vector<membership::ServerObservation>& observations,
-             double unhealthy_share, double made_at);
+             double unhealthy_share, double made_at_ms);
 
   // Those of the `listed` servers that this instance is not to pick now. `alive`: the names of the instances
   // that are, sorted.
   [[nodiscard]] std::vector<ServerId> ejected(const std::vector<ServerId>& listed,
-                                              const std::vector<std::string>& alive, double now) const;
+                                              const std::vector<std::string>& alive, double now_ms) const;
   // Drops what has expired, and origins that are not among `known`, which is sorted.
-  void expire(const std::vector<std::string>& known, double now);
+  void expire(const std::vector<std::string>& known, double now_ms);
   // How many instances anything is known from.
   [[nodiscard]] std::size_t origin_count() const { return origins_.size(); }
 
@@ -56,7 +56,7 @@
   // The latest that an origin has seen of a server.
   struct Sighting {
     bool failing = false;
-    double seen_at = 0;
+    double seen_at_ms = 0;
     double failing_since = 0;  // where it is failing: nothing good came from the server after that
   };
   struct Origin {
@@ -74,12 +74,13 @@
     bool recovered = false;    // served somebody for certain after the last failure
     bool our_trial = false;    // it is this instance's turn to try it
   };
-  [[nodiscard]] std::set<ServerId> accused(double now) const;
+  [[nodiscard]] std::set<ServerId> accused(double now_ms) const;
   [[nodiscard]] bool accuses(const std::string& name, const Origin& origin, ServerId server,
-                             double now) const;
+                             double now_ms) const;
   [[nodiscard]] bool is_our_trial(const Assessment& assessment, const std::vector<std::string>& alive,
-                                  double now) const;
-  [[nodiscard]] Assessment assess(ServerId server, const std::vector<std::string>& alive, double now) const;
+                                  double now_ms) const;
+  [[nodiscard]] Assessment assess(ServerId server, const std::vector<std::string>& alive,
+                                  double now_ms) const;
 
   std::string self_;
   std::map<std::string, Origin> origins_;     // this instance among them
--- a/src/fleet/shared_limits.cpp
+++ b/src/fleet/shared_limits.cpp
@@ -31,14 +31,14 @@
 
 }  // namespace
 
-SharedLimits::SharedLimits(const LimitTerms& terms, int tenants, int request_classes, double now)
+SharedLimits::SharedLimits(const LimitTerms& terms, int tenants, int request_classes, double now_ms)
     : terms_(terms),
       file_terms_(terms),
       tenants_(tenants),
       request_classes_(request_classes),
       owned_from_(never),
       agreed_since_(never) {
-  for (const auto& limit : terms_.limits) quotas_.emplace_back(limit, terms_, never, now);
+  for (const auto& limit : terms_.limits) quotas_.emplace_back(limit, terms_, never, now_ms);
   index_limits();
 }
 
@@ -66,32 +66,32 @@
 
 // --- The file and who owns which share ------------------------------------------------------------------
 
-void SharedLimits::address_acquired(double now) {
+void SharedLimits::address_acquired(double now_ms) {
   if (ownership_ == Ownership::owning) return;
   ownership_ = Ownership::quarantined;
-  owned_from_ = now + quarantine_ms();
+  owned_from_ = now_ms + quarantine_ms();
 }
 
 // Limits are known by their name. One that both files have holds with the lesser of both until all agree; one
 // that is new may have been there a moment ago, and lent, and is owned after a quarantine.
-void SharedLimits::reload(const LimitTerms& terms, double now) {
+void SharedLimits::reload(const LimitTerms& terms, double now_ms) {
   file_terms_ = terms;
   file_terms_.lease_ms = terms_.lease_ms;  // it can't change while leases of that length may run
   agreed_since_ = never;
-  if (ownership_ == Ownership::quarantined) owned_from_ = std::max(owned_from_, now + quarantine_ms());
+  if (ownership_ == Ownership::quarantined) owned_from_ = std::max(owned_from_, now_ms + quarantine_ms());
   LimitTerms lesser = file_terms_;
   std::vector<LimitQuota> quotas;
   for (auto& limit : lesser.limits) {
     auto old = std::find_if(terms_.limits.begin(), terms_.limits.end(),
                             [&](const Limit& other) { return other.name == limit.name; });
     if (old == terms_.limits.end()) {
-      double owned_from = ownership_ == Ownership::owning ? now + quarantine_ms() : never;
-      quotas.emplace_back(limit, lesser, owned_from, now);
+      double owned_from = ownership_ == Ownership::owning ? now_ms + quarantine_ms() : never;
+      quotas.emplace_back(limit, lesser, owned_from, now_ms);
       continue;
     }
     limit = lesser_of(*old, terms_, limit, terms);
     auto& quota = quotas_[static_cast<std::size_t>(old - terms_.limits.begin())];
-    quota.update(limit, lesser, now);
+    quota.update(limit, lesser, now_ms);
     quotas.push_back(std::move(quota));
   }
   quotas_ = std::move(quotas);
@@ -101,32 +101,32 @@
   index_limits();
 }
 
-void SharedLimits::update_agreement(const ConfigAgreement& agreement, double now) {
+void SharedLimits::update_agreement(const ConfigAgreement& agreement, double now_ms) {
   // One that has just started holds back while a live member's file differs; one that runs goes on.
-  bool may_own = ownership_ == Ownership::quarantined && now >= owned_from_;
+  bool may_own = ownership_ == Ownership::quarantined && now_ms >= owned_from_;
   if (may_own && !agreement.live_member_differs) {
     ownership_ = Ownership::owning;
-    for (auto& quota : quotas_) quota.set_owned_from(owned_from_, now);
+    for (auto& quota : quotas_) quota.set_owned_from(owned_from_, now_ms);
   }
   if (config_state_ == ConfigState::in_force) return;
   if (!agreement.all_agree) agreed_since_ = never;
-  if (agreement.all_agree && agreed_since_ == never) agreed_since_ = now;
-  if (!agreement.all_agree || now - agreed_since_ < quarantine_ms()) return;
+  if (agreement.all_agree && agreed_since_ == never) agreed_since_ = now_ms;
+  if (!agreement.all_agree || now_ms - agreed_since_ < quarantine_ms()) return;
   config_state_ = ConfigState::in_force;
   terms_ = file_terms_;
-  for (std::size_t i = 0; i < quotas_.size(); ++i) quotas_[i].update(terms_.limits[i], terms_, now);
+  for (std::size_t i = 0; i < quotas_.size(); ++i) quotas_[i].update(terms_.limits[i], terms_, now_ms);
 }
 
 // --- Requests -------------------------------------------------------------------------------------------
 
 // Either a token of each limit that counts the request is there, or none is taken.
-double SharedLimits::admit(int tenant, int request_class, double now) {
+double SharedLimits::admit(int tenant, int request_class, double now_ms) {
   const auto& limits = limits_for(tenant, request_class);
   double retry_after_ms = 0;
   for (auto i : limits) {
     auto& quota = quotas_[i];
-    quota.record_demand(now);
-    if (quota.tokens(now) < 1) retry_after_ms = std::max(retry_after_ms, quota.retry_after_ms(now));
+    quota.record_demand(now_ms);
+    if (quota.tokens(now_ms) < 1) retry_after_ms = std::max(retry_after_ms, quota.retry_after_ms(now_ms));
   }
   if (retry_after_ms > 0) {
     rejected_lately_ = true;
@@ -136,16 +136,16 @@
   return 0;
 }
 
-void SharedLimits::undo_admission(int tenant, int request_class, double now) {
-  for (auto i : limits_for(tenant, request_class)) quotas_[i].return_token(now);
+void SharedLimits::undo_admission(int tenant, int request_class, double now_ms) {
+  for (auto i : limits_for(tenant, request_class)) quotas_[i].return_token(now_ms);
 }
 
 // --- Leases ---------------------------------------------------------------------------------------------
 
-std::vector<Quota> SharedLimits::lendable(double now) const {
+std::vector<Quota> SharedLimits::lendable(double now_ms) const {
   std::vector<Quota> offered;
   for (std::size_t i = 0; i < quotas_.size(); ++i)
-    if (double rate = quotas_[i].lendable(now); rate > 0)
+    if (double rate = quotas_[i].lendable(now_ms); rate > 0)
       offered.push_back({.limit = static_cast<int>(i), .rate = std::floor(rate * 100) / 100});
   return offered;
 }
@@ -157,12 +157,12 @@
 
 // Those that offer most go first, so that few are asked; those that lend already before others that offer a
 // little more, but not before all: 16 that lent a little kept an instance from asking the 8 that had most.
-std::vector<SharedLimits::Lender> SharedLimits::ranked_lenders(int limit, double now) const {
+std::vector<SharedLimits::Lender> SharedLimits::ranked_lenders(int limit, double now_ms) const {
   std::vector<Lender> lenders;
   for (std::size_t k = 0; k < offers_.size(); ++k) {
     auto i = (k + round_) % offers_.size();  // those that offer alike take turns
     auto peer = membership::peer_at(i);
-    double held = quota(limit).borrowed_from(peer, now);
+    double held = quota(limit).borrowed_from(peer, now_ms);
     double offer = std::max(held, rate_of(offers_[i].lendable, limit));
     if (offer > 0) lenders.push_back({.peer = peer, .held = held, .offer = offer});
   }
@@ -174,20 +174,20 @@
   return lenders;
 }
 
-std::vector<LeaseRequest> SharedLimits::lease_requests(double now) {
+std::vector<LeaseRequest> SharedLimits::lease_requests(double now_ms) {
   rejected_lately_ = false;
   ++round_;
   std::vector<LeaseRequest> requests;
-  for (int limit = 0; limit < size(); ++limit) request_shortfall(limit, now, requests);
+  for (int limit = 0; limit < size(); ++limit) request_shortfall(limit, now_ms, requests);
   return requests;
 }
 
-void SharedLimits::request_shortfall(int limit, double now, std::vector<LeaseRequest>& requests) const {
+void SharedLimits::request_shortfall(int limit, double now_ms, std::vector<LeaseRequest>& requests) const {
   const auto& held = quota(limit);
-  double left = held.shortfall(now);
+  double left = held.shortfall(now_ms);
   if (left <= 0) return;
-  double half_a_lease_on = now + file_terms_.lease_ms / 2;
-  for (const auto& lender : ranked_lenders(limit, now)) {
+  double half_a_lease_on = now_ms + file_terms_.lease_ms / 2;
+  for (const auto& lender : ranked_lenders(limit, now_ms)) {
     if (left <= 0) break;
     double wanted = std::min(left, lender.offer);
     double assured = held.borrowed_from(lender.peer, half_a_lease_on);
@@ -204,35 +204,35 @@
     request->quotas.push_back({.limit = limit, .rate = wanted});
     // What it granted when it was last asked tells better than its offer what it will grant.
     const auto& offer = offers_[slot(lender.peer)];
-    bool granted_lately = now - offer.granted_at < file_terms_.lease_ms;
+    bool granted_lately = now_ms - offer.granted_at_ms < file_terms_.lease_ms;
     left -= granted_lately ? std::max(rate_of(offer.last_grant, limit), assured) : wanted;
   }
 }
 
 std::vector<Quota> SharedLimits::grant(PeerIndex borrower, std::uint64_t incarnation,
-                                       std::span<const Quota> wanted, double now) {
+                                       std::span<const Quota> wanted, double now_ms) {
   std::vector<Quota> granted;
   for (const auto& one : wanted) {
     if (one.limit < 0 || one.limit >= size()) continue;
-    double rate = quota(one.limit).grant(borrower, incarnation, one.rate, now);
+    double rate = quota(one.limit).grant(borrower, incarnation, one.rate, now_ms);
     if (rate > 0) granted.push_back({.limit = one.limit, .rate = rate});
   }
   return granted;
 }
 
 // The lease ends by the time of the request: the lender made its grant later, and so counts it for longer.
-bool SharedLimits::accept_grant(PeerIndex lender, double requested_at, std::span<const Quota> granted,
-                                double now) {
-  double expires_at = requested_at + file_terms_.lease_ms;
-  if (requested_at > now || expires_at <= now || slot(lender) >= offers_.size()) return false;
+bool SharedLimits::accept_grant(PeerIndex lender, double requested_at_ms, std::span<const Quota> granted,
+                                double now_ms) {
+  double expires_at_ms = requested_at_ms + file_terms_.lease_ms;
+  if (requested_at_ms > now_ms || expires_at_ms <= now_ms || slot(lender) >= offers_.size()) return false;
   auto& offer = offers_[slot(lender)];
   offer.last_grant.assign(granted.begin(), granted.end());
-  offer.granted_at = now;
+  offer.granted_at_ms = now_ms;
   for (const auto& one : granted) {
     if (one.limit < 0 || one.limit >= size()) continue;
     // Nobody owns more than the whole of a limit.
     if (one.rate > file_terms_.limits[static_cast<std::size_t>(one.limit)].rate) continue;
-    quota(one.limit).accept(lender, one.rate, expires_at, now);
+    quota(one.limit).accept(lender, one.rate, expires_at_ms, now_ms);
   }
   return true;
 }
@@ -242,16 +242,16 @@
   if (slot(peer) < offers_.size()) offers_[slot(peer)] = {};
 }
 
-std::string SharedLimits::broken_invariant(double now) const {
+std::string SharedLimits::broken_invariant(double now_ms) const {
   if (quotas_.size() != terms_.limits.size()) return "not one quota for each limit";
   if (file_terms_.limits.size() != terms_.limits.size()) return "limits in force are not those of the file";
   if ((ownership_ == Ownership::no_address) != (owned_from_ == never))
     return "a quarantine without an address";
-  if (ownership_ == Ownership::owning && now < owned_from_) return "owns before the quarantine's end";
+  if (ownership_ == Ownership::owning && now_ms < owned_from_) return "owns before the quarantine's end";
   for (const auto& quota : quotas_) {
-    if (ownership_ != Ownership::owning && quota.available_rate(now) > quota.borrowed(now))
+    if (ownership_ != Ownership::owning && quota.available_rate(now_ms) > quota.borrowed(now_ms))
       return "uses a share that it does not own yet";
-    if (auto broken = quota.broken_invariant(now); !broken.empty()) return broken;
+    if (auto broken = quota.broken_invariant(now_ms); !broken.empty()) return broken;
   }
   return {};
 }
--- a/src/fleet/shared_limits.hpp
+++ b/src/fleet/shared_limits.hpp
@@ -27,37 +27,37 @@
   static constexpr std::size_t max_lenders = 16;  // asked in one round
 
   // `tenants` and `request_classes`: how many the file names.
-  SharedLimits(const LimitTerms& terms, int tenants, int request_classes, double now);
+  SharedLimits(const LimitTerms& terms, int tenants, int request_classes, double now_ms);
 
   // This instance has its address. Leases that an earlier incarnation granted expire within a lease from now.
-  void address_acquired(double now);
+  void address_acquired(double now_ms);
   // A new file. What it lowers holds at once; what it raises once all members have agreed on it for long
   // enough.
-  void reload(const LimitTerms& terms, double now);
+  void reload(const LimitTerms& terms, double now_ms);
   // How the members' files compare with this one's now.
-  void update_agreement(const ConfigAgreement& agreement, double now);
+  void update_agreement(const ConfigAgreement& agreement, double now_ms);
   // The file's limits and share are in force.
   [[nodiscard]] bool in_force() const { return config_state_ == ConfigState::in_force; }
 
   // 0: the request is admitted, with a token of each limit that counts it. Otherwise it is rejected, and no
   // token is taken: ms until it may be tried again.
-  double admit(int tenant, int request_class, double now);
+  double admit(int tenant, int request_class, double now_ms);
   // An admitted request was rejected for another reason, at the same time.
-  void undo_admission(int tenant, int request_class, double now);
+  void undo_admission(int tenant, int request_class, double now_ms);
 
   // What this instance offers to lend.
-  [[nodiscard]] std::vector<Quota> lendable(double now) const;
+  [[nodiscard]] std::vector<Quota> lendable(double now_ms) const;
   // What `peer` offers; empty once it can't be borrowed from.
   void set_offer(PeerIndex peer, std::vector<Quota> lendable);
   // A round of requests for what is missing.
-  std::vector<LeaseRequest> lease_requests(double now);
+  std::vector<LeaseRequest> lease_requests(double now_ms);
   // A request was rejected since the last round.
   [[nodiscard]] bool rejected_lately() const { return rejected_lately_; }
   // Answers a lease request.
   std::vector<Quota> grant(PeerIndex borrower, std::uint64_t incarnation, std::span<const Quota> wanted,
-                           double now);
+                           double now_ms);
   // Takes a lease for a request sent at `requested_at`. False: it is of no use any more.
-  bool accept_grant(PeerIndex lender, double requested_at, std::span<const Quota> granted, double now);
+  bool accept_grant(PeerIndex lender, double requested_at_ms, std::span<const Quota> granted, double now_ms);
   // The index is free to serve another peer.
   void forget(PeerIndex peer);
 
@@ -70,7 +70,7 @@
   [[nodiscard]] double lease_ms() const { return terms_.lease_ms; }
 
   // Empty where all invariants hold, otherwise what is broken. For tests, after every step.
-  [[nodiscard]] std::string broken_invariant(double now) const;
+  [[nodiscard]] std::string broken_invariant(double now_ms) const;
 
  private:
   // Of this instance's own share of each limit.
@@ -86,7 +86,7 @@
   struct Offer {
     std::vector<Quota> lendable;
     std::vector<Quota> last_grant;
-    double granted_at = -1e18;  // long ago
+    double granted_at_ms = -1e18;  // long ago
   };
   struct Lender {
     PeerIndex peer{};
@@ -96,8 +96,8 @@
 
   std::vector<std::uint8_t>& limits_for(int tenant, int request_class);
   void index_limits();
-  [[nodiscard]] std::vector<Lender> ranked_lenders(int limit, double now) const;
-  void request_shortfall(int limit, double now, std::vector<LeaseRequest>& requests) const;
+  [[nodiscard]] std::vector<Lender> ranked_lenders(int limit, double now_ms) const;
+  void request_shortfall(int limit, double now_ms, std::vector<LeaseRequest>& requests) const;
   // For how long leases of an earlier incarnation or of an earlier file may run.
   [[nodiscard]] double quarantine_ms() const { return file_terms_.lease_ms * (1 + lease_drift); }
 
--- a/src/hot_restart/handover_snapshot.cpp
+++ b/src/hot_restart/handover_snapshot.cpp
@@ -43,7 +43,8 @@
   return add_checksum(snapshot_file, body);
 }
 
-std::variant<LearnedState, TextError> decode_snapshot(std::string_view text, double now, double max_age_ms) {
+std::variant<LearnedState, TextError> decode_snapshot(std::string_view text, double now_ms,
+                                                      double max_age_ms) {
   auto verified = verify_checksum(snapshot_file, text);
   if (const auto* error = std::get_if<TextError>(&verified)) return *error;
   LearnedState learned;
@@ -58,7 +59,7 @@
   if (at == learned.end())
     return TextError{.kind = TextError::Kind::malformed_line, .value = std::string(made_at)};
   // All processes of a balancer read one clock: a time well ahead was not written by a predecessor.
-  if (now - at->second > max_age_ms || at->second > now + max_age_ms)
+  if (now_ms - at->second > max_age_ms || at->second > now_ms + max_age_ms)
     return TextError{.kind = TextError::Kind::expired, .value = std::to_string(at->second)};
   learned.erase(at);
   return learned;
--- a/src/hot_restart/handover_snapshot.hpp
+++ b/src/hot_restart/handover_snapshot.hpp
@@ -14,8 +14,9 @@
 inline constexpr std::string_view snapshot_file = "lessons";
 
 // `at`: when it was learned, in ms of Unix time.
-std::string encode_snapshot(const LearnedState& learned, double at);
+std::string encode_snapshot(const LearnedState& learned, double at_ms);
 // Expired: made more than `max_age_ms` before `now`, or after it.
-std::variant<LearnedState, TextError> decode_snapshot(std::string_view text, double now, double max_age_ms);
+std::variant<LearnedState, TextError> decode_snapshot(std::string_view text, double now_ms,
+                                                      double max_age_ms);
 
 }  // namespace meadowgauge::hot_restart
--- a/src/hot_restart/takeover.cpp
+++ b/src/hot_restart/takeover.cpp
@@ -13,17 +13,17 @@
 
 }  // namespace
 
-Takeover::Takeover(const PeerProcesses& peers, double now)
-    : peers_(peers), started_at_(now), saved_at_(now), replaces_another_(peers.total() > 0) {}
+Takeover::Takeover(const PeerProcesses& peers, double now_ms)
+    : peers_(peers), started_at_ms_(now_ms), saved_at_ms_(now_ms), replaces_another_(peers.total() > 0) {}
 
 // Alone there is nobody to wait for: the process that was to be replaced has gone.
-bool Takeover::is_due(bool endpoints_known, double now) const {
+bool Takeover::is_due(bool endpoints_known, double now_ms) const {
   if (peers_.total() == 0) return true;
-  double waited_ms = now - started_at_;
+  double waited_ms = now_ms - started_at_ms_;
   return waited_ms >= peers_see_after_ms && (endpoints_known || waited_ms >= max_wait_for_endpoints_ms);
 }
 
-TakeoverActions Takeover::update(const PeerProcesses& peers, bool endpoints_known, double now) {
+TakeoverActions Takeover::update(const PeerProcesses& peers, bool endpoints_known, double now_ms) {
   TakeoverActions actions;
   bool count_changed = peers.total() != peers_.total();
   bool older_changed = peers.older != peers_.older;
@@ -32,7 +32,7 @@
   actions.set_share = updated_ ? count_changed : peers.total() > 0;
   actions.share = 1.0 / (1 + peers.total());
   updated_ = true;
-  if (state_ == State::waiting && is_due(endpoints_known, now)) {
+  if (state_ == State::waiting && is_due(endpoints_known, now_ms)) {
     state_ = State::serving;
     actions.listen = true;
   }
@@ -42,8 +42,8 @@
   }
   if (state_ != State::serving || peers.newer > 0) return actions;
   actions.claim_connections = peers.older > 0 && (actions.listen || older_changed);
-  if (now - saved_at_ >= snapshot_interval_ms) {
-    saved_at_ = now;
+  if (now_ms - saved_at_ms_ >= snapshot_interval_ms) {
+    saved_at_ms_ = now_ms;
     actions.save_snapshot = true;
   }
   return actions;
@@ -59,7 +59,7 @@
 std::string Takeover::broken_invariant() const {
   if (peers_.older < 0 || peers_.newer < 0) return "a negative number of processes";
   if (peers_.newer_serves && peers_.newer == 0) return "a newer process serves and there is none";
-  if (saved_at_ < started_at_) return "a snapshot before the start";
+  if (saved_at_ms_ < started_at_ms_) return "a snapshot before the start";
   bool had_update = state_ == State::serving || state_ == State::ending || state_ == State::handed_over;
   if (had_update && !updated_) return "serves before it has seen the others";
   return {};
--- a/src/hot_restart/takeover.hpp
+++ b/src/hot_restart/takeover.hpp
@@ -33,9 +33,9 @@
   static constexpr double max_snapshot_age_ms = 5000;
 
   // The process has started at `now` beside `peers`.
-  Takeover(const PeerProcesses& peers, double now);
+  Takeover(const PeerProcesses& peers, double now_ms);
   // `peers` are there now. `endpoints_known`: discovery has answered since the start.
-  TakeoverActions update(const PeerProcesses& peers, bool endpoints_known, double now);
+  TakeoverActions update(const PeerProcesses& peers, bool endpoints_known, double now_ms);
   // The process is to end.
   void end();
 
@@ -55,12 +55,12 @@
     handed_over,  // a newer process serves; answers what it has
     cancelled     // to end before it ever served
   };
-  [[nodiscard]] bool is_due(bool endpoints_known, double now) const;
+  [[nodiscard]] bool is_due(bool endpoints_known, double now_ms) const;
 
   State state_ = State::waiting;
   PeerProcesses peers_;
-  double started_at_;
-  double saved_at_;  // when a snapshot was last due
+  double started_at_ms_;
+  double saved_at_ms_;  // when a snapshot was last due
   bool replaces_another_;
   bool updated_ = false;  // there was an update before
 };
--- a/src/membership/datagram_socket.hpp
+++ b/src/membership/datagram_socket.hpp
@@ -52,7 +52,7 @@
  public:
   // Called for each datagram of a peer given with set_peers(). `now` is read after the datagram was received:
   // a lease granted for it counts from then, never from an earlier time, also if the process was paused.
-  using Receiver = std::function<void(PeerIndex peer, const Datagram& datagram, double now)>;
+  using Receiver = std::function<void(PeerIndex peer, const Datagram& datagram, double now_ms)>;
 
   // `loop` and `clock` outlive the socket.
   DatagramSocket(transport::Loop& loop, const transport::Clock& clock, Receiver receiver);
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -50,42 +50,42 @@
   return listed;
 }
 
-double MemberTable::age_ms(PeerIndex peer, double now) const {
+double MemberTable::age_ms(PeerIndex peer, double now_ms) const {
   const auto& p = at(peer);
-  return p.known ? std::max(0.0, now - p.made_at) : std::numeric_limits<double>::infinity();
+  return p.known ? std::max(0.0, now_ms - p.made_at_ms) : std::numeric_limits<double>::infinity();
 }
 
-MemberStatus MemberTable::status(PeerIndex peer, double now) const {
-  double age = age_ms(peer, now) / time_scale_;
+MemberStatus MemberTable::status(PeerIndex peer, double now_ms) const {
+  double age = age_ms(peer, now_ms) / time_scale_;
   if (age < timing_.suspected_after_ms) return MemberStatus::alive;
   return age < timing_.gone_after_ms ? MemberStatus::suspected : MemberStatus::gone;
 }
 
-int MemberTable::alive_count(double now) const {
+int MemberTable::alive_count(double now_ms) const {
   int count = 0;
   for (auto peer : members())
-    if (status(peer, now) == MemberStatus::alive) ++count;
+    if (status(peer, now_ms) == MemberStatus::alive) ++count;
   return count;
 }
 
-bool MemberTable::is_gone(const Peer& peer, double now) const {
-  return !peer.known || now - peer.made_at >= timing_.gone_after_ms * time_scale_;
+bool MemberTable::is_gone(const Peer& peer, double now_ms) const {
+  return !peer.known || now_ms - peer.made_at_ms >= timing_.gone_after_ms * time_scale_;
 }
 
 // A clock that was set back before a restart makes an incarnation lower than the last one: it counts once the
 // last one has been silent for long enough to be gone.
-bool MemberTable::accept_incarnation(Peer& peer, std::uint64_t incarnation, double now) {
+bool MemberTable::accept_incarnation(Peer& peer, std::uint64_t incarnation, double now_ms) {
   if (incarnation == peer.incarnation) return true;
-  if (incarnation < peer.incarnation && !is_gone(peer, now)) return false;
+  if (incarnation < peer.incarnation && !is_gone(peer, now_ms)) return false;
   peer = {.name = std::move(peer.name), .incarnation = incarnation};
   return true;
 }
 
 // Within the window a datagram that was overtaken still counts, and one that came twice does not.
 Freshness MemberTable::accept_datagram(PeerIndex peer, std::uint64_t incarnation, std::uint64_t sequence,
-                                       double now) {
+                                       double now_ms) {
   auto& p = at(peer);
-  if (!accept_incarnation(p, incarnation, now)) return Freshness::earlier_incarnation;
+  if (!accept_incarnation(p, incarnation, now_ms)) return Freshness::earlier_incarnation;
   if (sequence > p.sequence) {
     auto ahead = sequence - p.sequence;
     p.received_window = ahead >= window_bits ? 1 : p.received_window << ahead | 1;
@@ -99,26 +99,26 @@
 }
 
 // The least offset may be too low by as much as the two clocks have drifted since.
-double MemberTable::transit_delay_ms(PeerIndex peer, double sent_at_ms, double now) {
+double MemberTable::transit_delay_ms(PeerIndex peer, double sent_at_ms, double now_ms) {
   auto& p = at(peer);
-  double offset = now - sent_at_ms;
+  double offset = now_ms - sent_at_ms;
   double least = offset;
-  if (p.least_offset_at)
-    least = std::min(offset, p.least_offset_ms + (now - *p.least_offset_at) * max_clock_drift);
+  if (p.least_offset_at_ms)
+    least = std::min(offset, p.least_offset_ms + (now_ms - *p.least_offset_at_ms) * max_clock_drift);
   p.least_offset_ms = least;
-  p.least_offset_at = now;
+  p.least_offset_at_ms = now_ms;
   return offset - least;
 }
 
 // A state's age counts from its making: one that was delayed on its way is no younger for coming now.
-Freshness MemberTable::merge(const MemberState& state, double now) {
+Freshness MemberTable::merge(const MemberState& state, double now_ms) {
   auto peer = find(state.name);
   if (!peer) return Freshness::duplicate;
   auto& p = at(*peer);
-  if (!accept_incarnation(p, state.incarnation, now)) return Freshness::earlier_incarnation;
+  if (!accept_incarnation(p, state.incarnation, now_ms)) return Freshness::earlier_incarnation;
   if (p.known && state.heartbeat <= p.state.heartbeat) return Freshness::duplicate;
   p.state = state;
-  p.made_at = now - state.age_ms;
+  p.made_at_ms = now_ms - state.age_ms;
   p.known = true;
   return Freshness::fresh;
 }
@@ -156,15 +156,15 @@
 
 // All members in turn, datagram by datagram. With the newest states first those that are seldom received
 // starved: of 300 members a third was not seen.
-std::vector<MemberState> MemberTable::states_to_gossip(const MemberState& own, double now) {
+std::vector<MemberState> MemberTable::states_to_gossip(const MemberState& own, double now_ms) {
   std::vector<MemberState> states{own};
   forwarding_.clear();
   for (std::size_t k = 0; k < peers_.size() && states.size() < max_gossip_states; ++k) {
     auto index = (next_forwarded_ + k) % peers_.size();
     const auto& peer = peers_[index];
-    if (peer.name.empty() || is_gone(peer, now)) continue;
+    if (peer.name.empty() || is_gone(peer, now_ms)) continue;
     states.push_back(peer.state);
-    states.back().age_ms = std::max(0.0, now - peer.made_at);
+    states.back().age_ms = std::max(0.0, now_ms - peer.made_at_ms);
     forwarding_.push_back(peer_at(index));
   }
   return states;
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -51,23 +51,23 @@
   // The newest that has come; empty before the first.
   [[nodiscard]] const MemberState& state(PeerIndex peer) const { return at(peer).state; }
   // Of the newest state; infinite where there is none.
-  [[nodiscard]] double age_ms(PeerIndex peer, double now) const;
+  [[nodiscard]] double age_ms(PeerIndex peer, double now_ms) const;
   // Gone where no state has ever come.
-  [[nodiscard]] MemberStatus status(PeerIndex peer, double now) const;
-  [[nodiscard]] int alive_count(double now) const;  // this one not among them
+  [[nodiscard]] MemberStatus status(PeerIndex peer, double now_ms) const;
+  [[nodiscard]] int alive_count(double now_ms) const;  // this one not among them
 
   // Whether a datagram that has come from `peer` counts.
-  Freshness accept_datagram(PeerIndex peer, std::uint64_t incarnation, std::uint64_t sequence, double now);
+  Freshness accept_datagram(PeerIndex peer, std::uint64_t incarnation, std::uint64_t sequence, double now_ms);
   // How much longer than the quickest datagram of its sender an accepted one took, in ms. Time in our own
   // socket while this process was paused counts. `sent_at_ms` is by the sender's clock since its start.
-  double transit_delay_ms(PeerIndex peer, double sent_at_ms, double now);
+  double transit_delay_ms(PeerIndex peer, double sent_at_ms, double now_ms);
   // Takes in a state, first hand or forwarded.
-  Freshness merge(const MemberState& state, double now);
+  Freshness merge(const MemberState& state, double now_ms);
 
   // The next round of gossip: to whom, this instance's own state, and for each datagram the states in it.
   std::vector<PeerIndex> next_targets();
   MemberState next_own_state(const std::vector<Quota>& lendable, std::uint64_t config_digest);
-  std::vector<MemberState> states_to_gossip(const MemberState& own, double now);
+  std::vector<MemberState> states_to_gossip(const MemberState& own, double now_ms);
   // So many of the last states_to_gossip() were sent, the own one among them: the next datagram goes on after
   // them.
   void gossip_sent(std::size_t states);
@@ -83,16 +83,16 @@
     std::uint64_t received_window = 0;  // bit k: sequence - k was received
     bool known = false;                 // there is a state
     MemberState state{};
-    double made_at = 0;  // when the state was made, by our clock
+    double made_at_ms = 0;  // when the state was made, by our clock
     // The least that our clock has been ahead of the sender's timestamps, and when that was last known.
     double least_offset_ms = 0;
-    std::optional<double> least_offset_at{};
+    std::optional<double> least_offset_at_ms{};
   };
   [[nodiscard]] const Peer& at(PeerIndex peer) const { return peers_[slot(peer)]; }
   Peer& at(PeerIndex peer) { return peers_[slot(peer)]; }
-  [[nodiscard]] bool is_gone(const Peer& peer, double now) const;
+  [[nodiscard]] bool is_gone(const Peer& peer, double now_ms) const;
   // False: it is an earlier incarnation than the one that counts.
-  bool accept_incarnation(Peer& peer, std::uint64_t incarnation, double now);
+  bool accept_incarnation(Peer& peer, std::uint64_t incarnation, double now_ms);
   void shuffle_targets();
 
   std::string self_;
--- a/src/policy/admission_throttle.hpp
+++ b/src/policy/admission_throttle.hpp
@@ -10,14 +10,16 @@
 class AdmissionThrottle {
  public:
   // `random` has to outlive it.
-  AdmissionThrottle(Random& random, double now);
+  AdmissionThrottle(Random& random, double now_ms);
 
   // The tier has served an attempt, or has failed to.
-  void record(bool accepted, double now) { accepted ? window_.add_accepted(now) : window_.add_failed(now); }
+  void record(bool accepted, double now_ms) {
+    accepted ? window_.add_accepted(now_ms) : window_.add_failed(now_ms);
+  }
   // Above 0 once accepted calls fall too far behind all calls.
-  [[nodiscard]] double drop_probability(double now) const;
+  [[nodiscard]] double drop_probability(double now_ms) const;
   // Whether a request that arrives now is dropped; it counts as a call then.
-  bool drops(bool over_quota, double now);
+  bool drops(bool over_quota, double now_ms);
 
  private:
   Random& random_;
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -91,13 +91,15 @@
   return !fits;
 }
 
-bool ConcurrencyLimiter::full_by_reports(const Request& request, const Endpoint& endpoint, double now) const {
+bool ConcurrencyLimiter::full_by_reports(const Request& request, const Endpoint& endpoint,
+                                         double now_ms) const {
   double target_ms = classes_.of(request).settings.target_ms;
-  return load_.queue_ms(endpoint, now) > share_for(request) * reports_share * target_ms;
+  return load_.queue_ms(endpoint, now_ms) > share_for(request) * reports_share * target_ms;
 }
 
-bool ConcurrencyLimiter::full_by_probe(const Request& request, const Endpoint& endpoint, double now) const {
-  return load_.predicted_ms(request, endpoint, slow_start_.speed(endpoint, now)) >
+bool ConcurrencyLimiter::full_by_probe(const Request& request, const Endpoint& endpoint,
+                                       double now_ms) const {
+  return load_.predicted_ms(request, endpoint, slow_start_.speed(endpoint, now_ms)) >
          share_for(request) * classes_.of(request).settings.target_ms;
 }
 
@@ -108,9 +110,9 @@
 }
 
 void ConcurrencyLimiter::record_duration(const Attempt& attempt, RequestClass& request_class, double took_ms,
-                                         double now) {
+                                         double now_ms) {
   // What ends early on was quick, for the long ones are still out: such times say nothing yet.
-  if (now - started_ <= request_class.settings.target_ms) return;
+  if (now_ms - started_ <= request_class.settings.target_ms) return;
   double gain = std::max(slow_gain, 1.0 / ++answers_), recent_gain = std::max(fast_gain, gain);
   double usual = update_usual_share(request_class, took_ms);
   blend(learned_.mean_ms, took_ms / usual, gain);
--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -26,13 +26,13 @@
 
   // All arguments have to outlive it.
   ConcurrencyLimiter(const PolicySettings& settings, const EndpointTable& endpoints, RequestClasses& classes,
-                     const LoadEstimator& load, const SlowStart& slow_start, double now)
+                     const LoadEstimator& load, const SlowStart& slow_start, double now_ms)
       : settings_(settings),
         endpoints_(endpoints),
         classes_(classes),
         load_(load),
         slow_start_(slow_start),
-        started_(now),
+        started_(now_ms),
         tiers_below_(settings.stage_count - settings.stage) {}
 
   // First attempts of the first tier alone are limited.
@@ -42,13 +42,13 @@
   // Whether one more is too much: for the tier, by count; for this endpoint, by its reports or its last
   // probe.
   bool tier_full(const Request& request, double ready);
-  [[nodiscard]] bool full_by_reports(const Request& request, const Endpoint& endpoint, double now) const;
-  [[nodiscard]] bool full_by_probe(const Request& request, const Endpoint& endpoint, double now) const;
+  [[nodiscard]] bool full_by_reports(const Request& request, const Endpoint& endpoint, double now_ms) const;
+  [[nodiscard]] bool full_by_probe(const Request& request, const Endpoint& endpoint, double now_ms) const;
 
   // A request was, or was not, rejected by one of these.
   void record_verdict(bool full);
   void record_timeliness(bool in_time);
-  void record_duration(const Attempt& attempt, RequestClass& request_class, double took_ms, double now);
+  void record_duration(const Attempt& attempt, RequestClass& request_class, double took_ms, double now_ms);
   void record_utilization(double value);
   // To be called each `interval_ms`.
   void tick(double interval_ms);
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -14,7 +14,7 @@
 struct OutlierState {
   double successes = 0, failures = 0;
   double slowness = 0, slowness_samples = 0;  // sum of log excess over the usual time, and of how many
-  double decayed_at = 0;                      // up to when the four above have faded
+  double decayed_at_ms = 0;                   // up to when the four above have faded
   double ejected_until = 0, healthy_since = 0;
   int ejections = 0;         // in a row
   bool on_trial = false;     // was ejected, and has not succeeded since
@@ -23,18 +23,18 @@
 
 // Of slow start.
 struct SlowStartState {
-  double tokens = 0, refilled_at = 0;
-  double failed_at = -never;  // the last attempt that did not succeed
-  double success_rate = 0;    // sum of own successes, fading
+  double tokens = 0, refilled_at_ms = 0;
+  double failed_at_ms = -never;  // the last attempt that did not succeed
+  double success_rate = 0;       // sum of own successes, fading
 };
 
 // Of the load estimator.
 struct LoadState {
   double probed_load =
       0;  // requests it held at the last probe and what was sent since; never: it did not tell
-  double probed_at = -never;
+  double probed_at_ms = -never;
   double response_ms = 0;  // by the latest report; 0: not known
-  double reported_at = -never;
+  double reported_at_ms = -never;
   double expected_ms = 1;  // worked out at each pick
 };
 
@@ -47,12 +47,12 @@
 
   // By an operator.
   bool manually_drained = false;
-  double drained_at = -never;
-  double restored_at = -never;  // put back, and not tried since
+  double drained_at_ms = -never;
+  double restored_at_ms = -never;  // put back, and not tried since
 
-  int in_flight = 0;        // own attempts
-  bool unproven = true;     // no outcome yet since it was new or restarted
-  double last_sign_at = 0;  // of life, or when it was first given something to do
+  int in_flight = 0;           // own attempts
+  bool unproven = true;        // no outcome yet since it was new or restarted
+  double last_sign_at_ms = 0;  // of life, or when it was first given something to do
 
   OutlierState outlier;
   SlowStartState slow_start;
@@ -79,11 +79,11 @@
 };
 
 // What gossip tells of an endpoint.
-inline EndpointReport report_on(const Endpoint& endpoint, double now) {
+inline EndpointReport report_on(const Endpoint& endpoint, double now_ms) {
   return {.id = endpoint.id,
           .response_ms = endpoint.load.response_ms,
           .failure_share = endpoint.outlier.failure_share,
-          .age_ms = now - endpoint.load.reported_at};
+          .age_ms = now_ms - endpoint.load.reported_at_ms};
 }
 
 // Whether an attempt of the request went there.
--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -15,31 +15,31 @@
   some_repeatable_ = std::ranges::any_of(parts.settings.request_classes, repeatable);
 }
 
-EndpointIndex EndpointPicker::pick(const Request& request, double now) {
+EndpointIndex EndpointPicker::pick(const Request& request, double now_ms) {
   refusal_ = RejectionReason::no_server;
   auto& limiter = parts_.limiter;
-  auto tier = gather(request, now);
+  auto tier = gather(request, now_ms);
   bool limits = limiter.limits(request);
   if (limits && limiter.counts(tier.ready) && refuses(limiter.tier_full(request, tier.ready)))
     return no_endpoint;
   // Taking servers out must not empty the tier: where most look unhealthy, the tier is, and all are used.
   // What a rule keeps from a request is not unhealthy: with most servers new, quick failers were used.
   if (candidates_.empty() || tier.unhealthy > (1 - panic_share) * (tier.ready - request.attempt_count))
-    gather_all(request, tier.ready, now);
+    gather_all(request, tier.ready, now_ms);
   if (candidates_.empty()) return no_endpoint;
-  if (int i = restored_candidate(request, now); i != no_endpoint) return i;
+  if (int i = restored_candidate(request, now_ms); i != no_endpoint) return i;
   if (parts_.affinity.applies_to(request)) {
     double target_ms = parts_.classes.of(request).settings.target_ms;
-    int i = parts_.affinity.pick(request, target_ms, candidates_, now);
-    bool full = limiter.full_by_reports(request, parts_.endpoints[i], now);
+    int i = parts_.affinity.pick(request, target_ms, candidates_, now_ms);
+    bool full = limiter.full_by_reports(request, parts_.endpoints[i], now_ms);
     return limits && refuses(full) ? no_endpoint : i;
   }
-  if (int i = parts_.load.by_probes() ? least_probed(now) : no_endpoint; i != no_endpoint) {
-    bool full = limiter.full_by_probe(request, parts_.endpoints[i], now);
+  if (int i = parts_.load.by_probes() ? least_probed(now_ms) : no_endpoint; i != no_endpoint) {
+    bool full = limiter.full_by_probe(request, parts_.endpoints[i], now_ms);
     return limits && refuses(full) ? no_endpoint : i;
   }
   parts_.locality.narrow(candidates_);
-  return idle_or_lesser(tier.mean_in_flight, now);
+  return idle_or_lesser(tier.mean_in_flight, now_ms);
 }
 
 // A trial of a server that may still fail costs a non-idempotent request, and nothing one that may run again.
@@ -47,9 +47,9 @@
   return some_repeatable_ && !parts_.classes.of(request).settings.repeatable();
 }
 
-EndpointPicker::Tier EndpointPicker::gather(const Request& request, double now) {
+EndpointPicker::Tier EndpointPicker::gather(const Request& request, double now_ms) {
   candidates_.clear();
-  parts_.slow_start.find_warmed_up(now);
+  parts_.slow_start.find_warmed_up(now_ms);
   Tier tier;
   double in_flight = 0;
   int proven = 0;
@@ -59,39 +59,39 @@
     if (!endpoint.takes_requests()) continue;
     ++tier.ready;
     if (!endpoint.unproven) in_flight += endpoint.in_flight, ++proven;
-    parts_.slow_start.refill(endpoint, now);
+    parts_.slow_start.refill(endpoint, now_ms);
     if (has_tried(request, i)) continue;
     const auto& o = endpoint.outlier;
-    if (!parts_.outliers.usable(endpoint, now) ||
-        (lost && o.on_trial && now < o.ejected_until + trial_waits_ms))
+    if (!parts_.outliers.usable(endpoint, now_ms) ||
+        (lost && o.on_trial && now_ms < o.ejected_until + trial_waits_ms))
       ++tier.unhealthy;
-    else if (permitted(request, i, now))
+    else if (permitted(request, i, now_ms))
       candidates_.push_back(i);
   }
   if (proven > 0) tier.mean_in_flight = in_flight / proven;
   return tier;
 }
 
-void EndpointPicker::gather_all(const Request& request, int ready, double now) {
+void EndpointPicker::gather_all(const Request& request, int ready, double now_ms) {
   candidates_.clear();
   for (int i : parts_.endpoints.listed)
-    if (permitted(request, i, now) && (!has_tried(request, i) || ready == 1)) candidates_.push_back(i);
+    if (permitted(request, i, now_ms) && (!has_tried(request, i) || ready == 1)) candidates_.push_back(i);
 }
 
-bool EndpointPicker::permitted(const Request& request, EndpointIndex index, double now) {
+bool EndpointPicker::permitted(const Request& request, EndpointIndex index, double now_ms) {
   const auto& endpoint = parts_.endpoints[index];
-  auto reason = parts_.retries.forbids(request, endpoint, now);
-  if (reason == RejectionReason::none && !parts_.slow_start.admits(endpoint, now))
+  auto reason = parts_.retries.forbids(request, endpoint, now_ms);
+  if (reason == RejectionReason::none && !parts_.slow_start.admits(endpoint, now_ms))
     reason = RejectionReason::slow_start;
   if (reason != RejectionReason::no_server) refusal_ = reason;
   return reason == RejectionReason::none;
 }
 
-EndpointIndex EndpointPicker::restored_candidate(const Request& request, double now) const {
+EndpointIndex EndpointPicker::restored_candidate(const Request& request, double now_ms) const {
   bool waits = failure_is_lost(request);
   for (int i : candidates_) {
-    double restored_at = parts_.endpoints[i].restored_at;
-    if (restored_at > -never && (!waits || now - restored_at > restored_waits_ms)) return i;
+    double restored_at_ms = parts_.endpoints[i].restored_at_ms;
+    if (restored_at_ms > -never && (!waits || now_ms - restored_at_ms > restored_waits_ms)) return i;
   }
   return no_endpoint;
 }
@@ -102,14 +102,14 @@
   return full;
 }
 
-EndpointIndex EndpointPicker::least_probed(double now) {
+EndpointIndex EndpointPicker::least_probed(double now_ms) {
   int least = no_endpoint, equal = 0;
   double least_load = never;
   for (int i : candidates_) {
     const auto& endpoint = parts_.endpoints[i];
-    if (!parts_.load.probed_of_late(endpoint, now) || endpoint.load.probed_load == never) continue;
+    if (!parts_.load.probed_of_late(endpoint, now_ms) || endpoint.load.probed_load == never) continue;
     bool crosses = parts_.locality.crossing_costs() && parts_.locality.is_far(endpoint);
-    double load = (endpoint.load.probed_load + 1) / parts_.slow_start.speed(endpoint, now);
+    double load = (endpoint.load.probed_load + 1) / parts_.slow_start.speed(endpoint, now_ms);
     load += crosses ? far_load : 0;
     if (load < least_load) least = i, least_load = load, equal = 0;
     if (load == least_load && parts_.random.uniform() * ++equal < 1) least = i;
@@ -117,10 +117,10 @@
   return least;
 }
 
-EndpointIndex EndpointPicker::idle_or_lesser(double mean_in_flight, double now) {
+EndpointIndex EndpointPicker::idle_or_lesser(double mean_in_flight, double now_ms) {
   auto& endpoints = parts_.endpoints;
   if (parts_.load.by_reports())
-    for (int i : candidates_) endpoints[i].load.expected_ms = parts_.load.response_ms(endpoints[i], now);
+    for (int i : candidates_) endpoints[i].load.expected_ms = parts_.load.response_ms(endpoints[i], now_ms);
   auto held = [&](int i) {
     double own = endpoints[i].in_flight;
     return endpoints[i].unproven ? std::max(own, mean_in_flight) : own;
--- a/src/policy/endpoint_picker.hpp
+++ b/src/policy/endpoint_picker.hpp
@@ -37,7 +37,7 @@
   explicit EndpointPicker(const PickerParts& parts);
 
   // no_endpoint: there is none for this attempt, for the reason that refusal() gives until the next pick.
-  EndpointIndex pick(const Request& request, double now);
+  EndpointIndex pick(const Request& request, double now_ms);
   [[nodiscard]] RejectionReason refusal() const { return refusal_; }
 
  private:
@@ -45,14 +45,14 @@
     int ready = 0, unhealthy = 0;  // of the ready ones
     double mean_in_flight = 0;     // of those with an outcome
   };
-  Tier gather(const Request& request, double now);
-  void gather_all(const Request& request, int ready, double now);
-  bool permitted(const Request& request, EndpointIndex index, double now);
+  Tier gather(const Request& request, double now_ms);
+  void gather_all(const Request& request, int ready, double now_ms);
+  bool permitted(const Request& request, EndpointIndex index, double now_ms);
   [[nodiscard]] bool failure_is_lost(const Request& request) const;
-  [[nodiscard]] EndpointIndex restored_candidate(const Request& request, double now) const;
+  [[nodiscard]] EndpointIndex restored_candidate(const Request& request, double now_ms) const;
   bool refuses(bool full);
-  EndpointIndex least_probed(double now);
-  EndpointIndex idle_or_lesser(double mean_in_flight, double now);
+  EndpointIndex least_probed(double now_ms);
+  EndpointIndex idle_or_lesser(double mean_in_flight, double now_ms);
   [[nodiscard]] double weight(const Endpoint& endpoint) const;
   EndpointIndex draw(double all_weights);
 
--- a/src/policy/key_affinity.cpp
+++ b/src/policy/key_affinity.cpp
@@ -28,14 +28,15 @@
   }
 }
 
-void KeyAffinity::weigh(Choice& best, EndpointIndex index, double fee_ms, double anew_ms, double now) const {
+void KeyAffinity::weigh(Choice& best, EndpointIndex index, double fee_ms, double anew_ms,
+                        double now_ms) const {
   const auto& endpoint = endpoints_[index];
-  double cost_ms = load_.response_ms(endpoint, now) * (1 + endpoint.in_flight) + fee_ms + anew_ms;
+  double cost_ms = load_.response_ms(endpoint, now_ms) * (1 + endpoint.in_flight) + fee_ms + anew_ms;
   if (cost_ms < best.cost_ms) best = {.endpoint = index, .cost_ms = cost_ms};
 }
 
 // The lesser of two of the first few; the next in rank where that is quicker.
-void KeyAffinity::choose(Choice& best, Ranking& ranking, double share, double fee_ms, double now) {
+void KeyAffinity::choose(Choice& best, Ranking& ranking, double share, double fee_ms, double now_ms) {
   if (ranking.empty()) return;
   auto serving = static_cast<std::size_t>(std::ceil(share * static_cast<double>(ranking.size()) * spread));
   serving = std::max<std::size_t>(1, serving);
@@ -44,20 +45,20 @@
   serving = std::min(serving, ranking.size());
   for (int draw = 0; draw < 2; ++draw) {
     auto rank_index = static_cast<std::size_t>(random_.uniform() * static_cast<double>(serving));
-    weigh(best, ranking[rank_index].second, fee_ms, 0, now);
+    weigh(best, ranking[rank_index].second, fee_ms, 0, now_ms);
   }
   for (auto rank_index = serving; rank_index < ranked; ++rank_index)
-    weigh(best, ranking[rank_index].second, fee_ms, anew_times * load_.usual_response_ms(), now);
+    weigh(best, ranking[rank_index].second, fee_ms, anew_times * load_.usual_response_ms(), now_ms);
 }
 
 EndpointIndex KeyAffinity::pick(const Request& request, double target_ms,
-                                const std::vector<EndpointIndex>& candidates, double now) {
+                                const std::vector<EndpointIndex>& candidates, double now_ms) {
   rank(request.key, candidates);
   double share = request.attempt_count == 0 ? keys_.came(request.key) : 0;
   share += first_share * keys_.uncertainty() * keys_.uncertainty();
   Choice best{.endpoint = candidates.front()};
-  choose(best, near_, share, 0, now);
-  choose(best, far_, share, settings_.cross_zone_cost * crossing_times * target_ms, now);
+  choose(best, near_, share, 0, now_ms);
+  choose(best, far_, share, settings_.cross_zone_cost * crossing_times * target_ms, now_ms);
   return best.endpoint;
 }
 
--- a/src/policy/key_affinity.hpp
+++ b/src/policy/key_affinity.hpp
@@ -32,7 +32,7 @@
   }
   // One of the candidates, of which there is at least one.
   EndpointIndex pick(const Request& request, double target_ms, const std::vector<EndpointIndex>& candidates,
-                     double now);
+                     double now_ms);
 
   // For gossip, the greatest first; and from it.
   [[nodiscard]] std::vector<KeyShare> shares() const { return keys_.greatest(); }
@@ -46,8 +46,8 @@
     double cost_ms = never;
   };
   void rank(std::uint64_t key, const std::vector<EndpointIndex>& candidates);
-  void weigh(Choice& best, EndpointIndex index, double fee_ms, double anew_ms, double now) const;
-  void choose(Choice& best, Ranking& ranking, double share, double fee_ms, double now);
+  void weigh(Choice& best, EndpointIndex index, double fee_ms, double anew_ms, double now_ms) const;
+  void choose(Choice& best, Ranking& ranking, double share, double fee_ms, double now_ms);
 
   const PolicySettings& settings_;
   const EndpointTable& endpoints_;
--- a/src/policy/list_subscription.cpp
+++ b/src/policy/list_subscription.cpp
@@ -14,10 +14,10 @@
 
 // Hundreds that start together would wear the list out; the one they start with serves meanwhile.
 ListSubscription::ListSubscription(const PolicySettings& settings, Random& random,
-                                   std::vector<std::string>& log_lines, double now)
+                                   std::vector<std::string>& log_lines, double now_ms)
     : settings_(settings), random_(random), log_lines_(log_lines) {
   double spread_ms = first_ask_ms + first_ask_each_ms * settings.replicas;
-  ask_at_ = now + random_.uniform() * std::min(spread_ms, settings.ask_within_ms / ask_parts);
+  ask_at_ms_ = now_ms + random_.uniform() * std::min(spread_ms, settings.ask_within_ms / ask_parts);
 }
 
 void ListSubscription::list_received() {
@@ -26,24 +26,24 @@
   asked_ = false, failures_ = 0;
 }
 
-void ListSubscription::list_failed(double now) {
+void ListSubscription::list_failed(double now_ms) {
   subscribed_ = asked_ = false;
-  schedule(now);
+  schedule(now_ms);
 }
 
-void ListSubscription::schedule(double now) {
+void ListSubscription::schedule(double now_ms) {
   failures_ = std::min(failures_ + 1, most_failures);
   if (failures_ == logged_failures) log_lines_.emplace_back("the list of upstreams is out of reach");
   double wait_ms = std::min(retry_ms * std::exp2(failures_ - 1), settings_.ask_within_ms / ask_parts);
-  ask_at_ = now + wait_ms * (retry_soonest + random_.uniform());
+  ask_at_ms_ = now_ms + wait_ms * (retry_soonest + random_.uniform());
 }
 
-bool ListSubscription::tick(double now) {
+bool ListSubscription::tick(double now_ms) {
   if (!settings_.subscribes) return false;
-  if (asked_ && now - asked_at_ > unanswered_ms) list_failed(now);
-  if (subscribed_ || asked_ || now < ask_at_) return false;
+  if (asked_ && now_ms - asked_at_ms_ > unanswered_ms) list_failed(now_ms);
+  if (subscribed_ || asked_ || now_ms < ask_at_ms_) return false;
   asked_ = true;
-  asked_at_ = now;
+  asked_at_ms_ = now_ms;
   return true;
 }
 
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -25,17 +25,17 @@
 double LoadEstimator::first_gossip_in_ms() { return random_.uniform() * gossip_every_ms; }
 
 // Any that may get the request, drawn anew for each.
-bool LoadEstimator::ask_probes(Request& request, Decision& decision, double now) {
+bool LoadEstimator::ask_probes(Request& request, Decision& decision, double now_ms) {
   const auto& listed = endpoints_.listed;
   if (!by_probes() || request.probed_for > request.attempt_count || listed.empty()) return false;
-  if (now + 2 * probe_wait_ms() >= request.due) return false;
+  if (now_ms + 2 * probe_wait_ms() >= request.deadline_ms) return false;
   request.probed_for = request.attempt_count + 1;
   for (int n = 0; n < draws_per_probe * probes_each && decision.probe_count < probes_each; ++n) {
     int i = listed[random_.below(listed.size())];
     auto end = decision.probes.begin() + decision.probe_count;
     bool chosen = std::find(decision.probes.begin(), end, i) != end;
     const auto& endpoint = endpoints_[i];
-    if (!endpoint.takes_requests() || !outliers_.usable(endpoint, now) || has_tried(request, i) || chosen)
+    if (!endpoint.takes_requests() || !outliers_.usable(endpoint, now_ms) || has_tried(request, i) || chosen)
       continue;
     decision.probes[static_cast<std::size_t>(decision.probe_count++)] = i;
   }
@@ -46,19 +46,19 @@
 double LoadEstimator::probe_wait_ms() const { return settings_.wire_tick_ms + probe_waits * probe_took_ms_; }
 
 void LoadEstimator::probe_ended(EndpointIndex index, Outcome outcome, double took_ms,
-                                const LoadReport& report, double now) {
+                                const LoadReport& report, double now_ms) {
   if (!by_probes() || !endpoints_.knows(index)) return;
   auto column = static_cast<std::size_t>(settings_.probe_column);
   bool known =
       outcome == Outcome::succeeded && settings_.probe_column < report.count && report.values[column] >= 0;
   endpoints_[index].load.probed_load = known ? report.values[column] : never;
-  endpoints_[index].load.probed_at = now;
+  endpoints_[index].load.probed_at_ms = now_ms;
   if (known) probe_took_ms_ += prediction_gain * (took_ms - probe_took_ms_);
 }
 
-bool LoadEstimator::probed_of_late(const Endpoint& endpoint, double now) const {
+bool LoadEstimator::probed_of_late(const Endpoint& endpoint, double now_ms) const {
   return by_probes() &&
-         now - endpoint.load.probed_at <= 2 * settings_.wire_tick_ms + probe_holds * probe_took_ms_;
+         now_ms - endpoint.load.probed_at_ms <= 2 * settings_.wire_tick_ms + probe_holds * probe_took_ms_;
 }
 
 double LoadEstimator::predicted_ms(const Request& request, const Endpoint& endpoint, double speed) const {
@@ -73,41 +73,41 @@
 // The latest report on a server is the one that counts, whoever it is from: nothing adds up, so that nothing
 // that comes round is counted twice.
 void LoadEstimator::record_attempt(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report,
-                                   double now) {
+                                   double now_ms) {
   if (!by_reports()) return;
   bool succeeded = attempt.outcome == Outcome::succeeded;
   auto& load = endpoint.load;
-  if (succeeded && settings_.depth_column < report.count) record_depth(endpoint, attempt, report, now);
+  if (succeeded && settings_.depth_column < report.count) record_depth(endpoint, attempt, report, now_ms);
   // One that was known to take long is overloaded, not at fault: its keys would wander and cost all the more.
   bool overloaded = attempt.outcome == Outcome::rejected;
   if (overloaded) load.response_ms = std::max(load.response_ms, rejection_times * usual_response_ms_);
   if (attempt.outcome == Outcome::timeout) {
-    double took = now - attempt.sent_at, known = response_ms(endpoint, now);
+    double took = now_ms - attempt.sent_at_ms, known = response_ms(endpoint, now_ms);
     overloaded = 2 * known > took;
     load.response_ms = std::max(known, took);
   }
-  outliers_.record_for_report(endpoint, !succeeded, overloaded, now);
-  load.reported_at = now;
+  outliers_.record_for_report(endpoint, !succeeded, overloaded, now_ms);
+  load.reported_at_ms = now_ms;
 }
 
 // The time that is told has waiting in it, and foretold little; what waits did.
 void LoadEstimator::record_depth(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report,
-                                 double now) {
+                                 double now_ms) {
   double ahead = std::max(0.0f, report.values[static_cast<std::size_t>(settings_.depth_column)]) + 1;
-  double work_ms = std::max(1.0, now - attempt.sent_at) / ahead;
+  double work_ms = std::max(1.0, now_ms - attempt.sent_at_ms) / ahead;
   blend(mean_work_ms_, work_ms, std::max(work_gain, 1.0 / ++work_samples_));
   double response_ms = ahead * std::sqrt(ahead) * mean_work_ms_;
   if (!std::isfinite(response_ms)) return;
   endpoint.load.response_ms = response_ms;
-  record_usual(endpoint, now, now);
+  record_usual(endpoint, now_ms, now_ms);
   auto& kind = kind_times_[static_cast<std::size_t>(endpoint.server_kind)];
   kind.value +=
       std::max(kind_gain, 1.0 / ++kind.samples) * (work_ms / std::max(1.0, mean_work_ms_) - kind.value);
 }
 
-void LoadEstimator::record_usual(const Endpoint& endpoint, double reported_at, double now) {
-  if (now - reported_at > report_decay_ms) return;
-  usual_reported_at_ = std::max(usual_reported_at_, reported_at);
+void LoadEstimator::record_usual(const Endpoint& endpoint, double reported_at_ms, double now_ms) {
+  if (now_ms - reported_at_ms > report_decay_ms) return;
+  usual_reported_at_ms_ = std::max(usual_reported_at_ms_, reported_at_ms);
   double response_ms = endpoint.load.response_ms * endpoint.weight / endpoints_.mean_weight;
   double step = std::exp(response_ms > usual_response_ms_ ? usual_step : -usual_step);
   usual_response_ms_ = usual_response_ms_ == 0 ? response_ms : usual_response_ms_ * step;
@@ -120,56 +120,57 @@
   prediction_factor_ = std::clamp(factor, least_factor, most_factor);
 }
 
-double LoadEstimator::response_ms(const Endpoint& e, double now) const {
-  return decayed_ms(e, now, report_decay_ms);
+double LoadEstimator::response_ms(const Endpoint& e, double now_ms) const {
+  return decayed_ms(e, now_ms, report_decay_ms);
 }
 
-double LoadEstimator::queue_ms(const Endpoint& e, double now) const {
-  return decayed_ms(e, now, queue_decay_ms);
+double LoadEstimator::queue_ms(const Endpoint& e, double now_ms) const {
+  return decayed_ms(e, now_ms, queue_decay_ms);
 }
 
-double LoadEstimator::decayed_ms(const Endpoint& endpoint, double now, double decay_ms) const {
+double LoadEstimator::decayed_ms(const Endpoint& endpoint, double now_ms, double decay_ms) const {
   // Where all turn requests away no report comes, and the last ones told of an overload long gone.
-  double usual_left = std::exp((usual_reported_at_ - now) / usual_decay_ms);
+  double usual_left = std::exp((usual_reported_at_ms_ - now_ms) / usual_decay_ms);
   double usual = mean_work_ms_ + (usual_response_ms_ - mean_work_ms_) * usual_left;
   usual = std::max(1.0, usual * endpoints_.mean_weight / endpoint.weight);
   const auto& load = endpoint.load;
   if (!(load.response_ms > 0)) return usual;
-  return usual + (load.response_ms - usual) * std::exp((load.reported_at - now) / decay_ms);
+  return usual + (load.response_ms - usual) * std::exp((load.reported_at_ms - now_ms) / decay_ms);
 }
 
-std::optional<GossipMessage> LoadEstimator::gossip_due(double now) {
-  if (!gossips_ || now < gossip_at_) return {};
-  gossip_at_ = now + gossip_every_ms * (gossip_soonest + gossip_spread * random_.uniform());
+std::optional<GossipMessage> LoadEstimator::gossip_due(double now_ms) {
+  if (!gossips_ || now_ms < gossip_at_ms_) return {};
+  gossip_at_ms_ = now_ms + gossip_every_ms * (gossip_soonest + gossip_spread * random_.uniform());
   std::vector<EndpointIndex> fresh;
   for (int i : endpoints_.listed)
-    if (now - endpoints_[i].load.reported_at < outliers_.report_lasts_ms(endpoints_[i], report_decay_ms))
+    if (now_ms - endpoints_[i].load.reported_at_ms <
+        outliers_.report_lasts_ms(endpoints_[i], report_decay_ms))
       fresh.push_back(i);
   if (fresh.empty()) return {};
-  auto at = [this](int i) { return endpoints_[i].load.reported_at; };
+  auto at = [this](int i) { return endpoints_[i].load.reported_at_ms; };
   std::sort(fresh.begin(), fresh.end(), [&](int a, int b) { return at(a) > at(b); });
   fresh.resize(std::min(fresh.size(), max_gossip_endpoints));
   GossipMessage message;
-  for (int i : fresh) message.content.endpoints.push_back(report_on(endpoints_[i], now));
+  for (int i : fresh) message.content.endpoints.push_back(report_on(endpoints_[i], now_ms));
   int other = static_cast<int>(random_.uniform() * (settings_.replicas - 1));
   message.to = other + (other >= settings_.own_number);
   return message;
 }
 
 // Of a server that is not in the own list nothing is kept: hearsay lets nobody send.
-void LoadEstimator::gossip_received(const std::vector<EndpointReport>& reports, double now) {
+void LoadEstimator::gossip_received(const std::vector<EndpointReport>& reports, double now_ms) {
   for (const auto& report : reports) {
     auto is_meant = [&](int i) { return endpoints_[i].id == report.id; };
     auto it = std::find_if(endpoints_.listed.begin(), endpoints_.listed.end(), is_meant);
     if (it == endpoints_.listed.end()) continue;
     auto& endpoint = endpoints_[*it];
-    double reported_at = now - report.age_ms;
-    if (reported_at <= endpoint.load.reported_at || reported_at <= endpoint.up_since) continue;
-    endpoint.load.reported_at = reported_at;
+    double reported_at_ms = now_ms - report.age_ms;
+    if (reported_at_ms <= endpoint.load.reported_at_ms || reported_at_ms <= endpoint.up_since) continue;
+    endpoint.load.reported_at_ms = reported_at_ms;
     endpoint.outlier.failure_share = report.failure_share;
     endpoint.load.response_ms = report.response_ms;
     // From others too: one that turned all away for what it had met at the start learned nothing else.
-    if (report.response_ms > 0) record_usual(endpoint, reported_at, now);
+    if (report.response_ms > 0) record_usual(endpoint, reported_at_ms, now_ms);
   }
 }
 
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -25,13 +25,13 @@
  public:
   // All arguments have to outlive it.
   LoadEstimator(const PolicySettings& settings, EndpointTable& endpoints, const OutlierDetector& outliers,
-                Random& random, double now)
+                Random& random, double now_ms)
       : settings_(settings),
         endpoints_(endpoints),
         outliers_(outliers),
         random_(random),
         gossips_(by_reports() && settings.peer_messages && settings.replicas > 1),
-        gossip_at_(gossips_ ? now + first_gossip_in_ms() : never),
+        gossip_at_ms_(gossips_ ? now_ms + first_gossip_in_ms() : never),
         probe_took_ms_(settings.wire_tick_ms) {}
 
   // Whether only probes tell what an endpoint holds; whether responses tell what waits there.
@@ -40,18 +40,18 @@
 
   // Probes. ask_probes(): for the request's next attempt, once; true: some were asked for, and the decision
   // is to wait for them.
-  bool ask_probes(Request& request, Decision& decision, double now);
+  bool ask_probes(Request& request, Decision& decision, double now_ms);
   [[nodiscard]] double probe_wait_ms() const;
   void probe_ended(EndpointIndex index, Outcome outcome, double took_ms, const LoadReport& report,
-                   double now);
-  [[nodiscard]] bool probed_of_late(const Endpoint& endpoint, double now) const;
+                   double now_ms);
+  [[nodiscard]] bool probed_of_late(const Endpoint& endpoint, double now_ms) const;
   // How long a request is thought to take, by the last probe; `speed`: the endpoint's part of its full work.
   [[nodiscard]] double predicted_ms(const Request& request, const Endpoint& endpoint, double speed) const;
 
   // A request has come with a hint of what it costs.
   void record_hint(double work_ms);
   // An attempt that was sent has ended, whatever came of it.
-  void record_attempt(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report, double now);
+  void record_attempt(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report, double now_ms);
   // A success has taken so long.
   void record_duration(const Attempt& attempt, double took_ms);
   // There are server kinds up to this one.
@@ -61,8 +61,8 @@
 
   // How long a request takes there, by the latest report, less of that as it grows old; the second loses it
   // sooner.
-  [[nodiscard]] double response_ms(const Endpoint& e, double now) const;
-  [[nodiscard]] double queue_ms(const Endpoint& e, double now) const;
+  [[nodiscard]] double response_ms(const Endpoint& e, double now_ms) const;
+  [[nodiscard]] double queue_ms(const Endpoint& e, double now_ms) const;
   [[nodiscard]] double usual_response_ms() const { return usual_response_ms_; }
   // A kind's time for a request over that of all kinds.
   [[nodiscard]] double kind_time(int kind) const { return kind_times_[static_cast<std::size_t>(kind)].value; }
@@ -72,8 +72,8 @@
   }
 
   // What is to be told to another balancer now, without keys.
-  std::optional<GossipMessage> gossip_due(double now);
-  void gossip_received(const std::vector<EndpointReport>& reports, double now);
+  std::optional<GossipMessage> gossip_due(double now_ms);
+  void gossip_received(const std::vector<EndpointReport>& reports, double now_ms);
 
  private:
   struct KindTime {
@@ -81,21 +81,21 @@
     int samples = 0;
   };
   [[nodiscard]] double first_gossip_in_ms();
-  void record_depth(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report, double now);
-  void record_usual(const Endpoint& endpoint, double reported_at, double now);
-  [[nodiscard]] double decayed_ms(const Endpoint& endpoint, double now, double decay_ms) const;
+  void record_depth(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report, double now_ms);
+  void record_usual(const Endpoint& endpoint, double reported_at_ms, double now_ms);
+  [[nodiscard]] double decayed_ms(const Endpoint& endpoint, double now_ms, double decay_ms) const;
 
   const PolicySettings& settings_;
   EndpointTable& endpoints_;
   const OutlierDetector& outliers_;
   Random& random_;
   bool gossips_;
-  double gossip_at_;
+  double gossip_at_ms_;
   double probe_took_ms_;
   double prediction_factor_ = 1;  // real over predicted durations
   double mean_work_ms_ = 0;       // 0: not known
   int work_samples_ = 0;
-  double usual_response_ms_ = 0, usual_reported_at_ = 0;
+  double usual_response_ms_ = 0, usual_reported_at_ms_ = 0;
   std::vector<KindTime> kind_times_ = {{}};  // by server kind
 };
 
--- a/src/policy/locality_router.cpp
+++ b/src/policy/locality_router.cpp
@@ -54,13 +54,13 @@
 
 // Where little comes the mean follows by the time: the few requests that cross told of other zones half a
 // minute late.
-void LocalityRouter::record_utilization(const Endpoint& endpoint, double utilization, double now) {
+void LocalityRouter::record_utilization(const Endpoint& endpoint, double utilization, double now_ms) {
   bool far = is_far(endpoint);
-  double& reported_at = far ? far_reported_at_ : near_reported_at_;
-  double gain = 1 - std::exp((reported_at - now) / report_fresh_ms);
+  double& reported_at_ms = far ? far_reported_at_ms_ : near_reported_at_ms_;
+  double gain = 1 - std::exp((reported_at_ms - now_ms) / report_fresh_ms);
   gain = std::clamp(gain, report_gain_least, report_gain_most);
   blend(far ? learned_.far_utilization : learned_.near_utilization, utilization, gain);
-  reported_at = now;
+  reported_at_ms = now_ms;
 }
 
 void LocalityRouter::record_duration(const Endpoint& endpoint, double took_ms) {
--- a/src/policy/locality_router.hpp
+++ b/src/policy/locality_router.hpp
@@ -27,7 +27,7 @@
   // or the own zone is filled.
   void narrow(std::vector<EndpointIndex>& candidates);
 
-  void record_utilization(const Endpoint& endpoint, double utilization, double now);
+  void record_utilization(const Endpoint& endpoint, double utilization, double now_ms);
   void record_duration(const Endpoint& endpoint, double took_ms);
   void tick();
 
@@ -44,7 +44,7 @@
   double filled_at_;    // requests of ours in flight to an endpoint of the own zone
   double peers_share_;  // of the zone's balancers, those that are not this one
   double least_spillover_;
-  double near_reported_at_ = -never, far_reported_at_ = -never;
+  double near_reported_at_ms_ = -never, far_reported_at_ms_ = -never;
   Learned learned_;
 };
 
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -28,57 +28,57 @@
 constexpr double report_decay_ms = 4000;
 constexpr double report_gain = 0.4, failing_report = 0.25;  // of one outcome; from there on it is passed over
 
-void OutlierDetector::decay(Endpoint& endpoint, double now) {
+void OutlierDetector::decay(Endpoint& endpoint, double now_ms) {
   auto& o = endpoint.outlier;
-  double left = std::exp((o.decayed_at - now) / evidence_ms);
+  double left = std::exp((o.decayed_at_ms - now_ms) / evidence_ms);
   for (double* sum : {&o.successes, &o.failures, &o.slowness, &o.slowness_samples}) *sum *= left;
-  o.decayed_at = now;
+  o.decayed_at_ms = now_ms;
 }
 
-double OutlierDetector::peers_failure_share(EndpointIndex index, double now) {
+double OutlierDetector::peers_failure_share(EndpointIndex index, double now_ms) {
   double successes = 0, failures = peers_prior_failures;
   for (int i : endpoints_.listed) {
     if (i == index) continue;
-    decay(endpoints_[i], now);
+    decay(endpoints_[i], now_ms);
     successes += endpoints_[i].outlier.successes;
     failures += endpoints_[i].outlier.failures;
   }
   return failures / (successes + failures + peers_prior);
 }
 
-void OutlierDetector::record_outcome(EndpointIndex index, bool failed, double now) {
+void OutlierDetector::record_outcome(EndpointIndex index, bool failed, double now_ms) {
   auto& o = endpoints_[index].outlier;
-  decay(endpoints_[index], now);
+  decay(endpoints_[index], now_ms);
   ++(failed ? o.failures : o.successes);
   if (!failed) {
     if (o.on_trial) {
       o.on_trial = false;
       o.successes = 1;
       o.failures = 0;
-      o.healthy_since = now;
+      o.healthy_since = now_ms;
     }
-    if (o.ejections > 0 && now - o.healthy_since > forgiven_ms) o.ejections = 0;
+    if (o.ejections > 0 && now_ms - o.healthy_since > forgiven_ms) o.ejections = 0;
     return;
   }
-  double peers = peers_failure_share(index, now);
+  double peers = peers_failure_share(index, now_ms);
   double share = o.failures / (o.failures + o.successes);
   // One bad server is not a tier without capacity: it leaves the picks and its outcomes leave the throttle.
-  if (o.ejected_until <= now && (o.on_trial || share > failing_margin + failing_times * peers))
-    eject(endpoints_[index], now);
+  if (o.ejected_until <= now_ms && (o.on_trial || share > failing_margin + failing_times * peers))
+    eject(endpoints_[index], now_ms);
 }
 
-void OutlierDetector::eject(Endpoint& endpoint, double now) {
+void OutlierDetector::eject(Endpoint& endpoint, double now_ms) {
   auto& o = endpoint.outlier;
   double length = std::min(longest_ejection_ms, ejection_ms * std::exp2(o.ejections));
-  o.ejected_until = now + length * (shortest_spread + spread * random_.uniform());
+  o.ejected_until = now_ms + length * (shortest_spread + spread * random_.uniform());
   o.ejections = std::min(o.ejections + 1, most_ejections);
   o.on_trial = true;
   o.successes = o.failures = o.slowness = o.slowness_samples = 0;
   if (o.ejections == 1) log_lines_.emplace_back("benched a server that fails more than its peers");
 }
 
-void OutlierDetector::record_duration(double took_ms, double now) {
-  last_answer_at_ = now;
+void OutlierDetector::record_duration(double took_ms, double now_ms) {
+  last_answer_at_ms_ = now_ms;
   double step = std::max(1.0, slow_end_ms_ * slow_end_step);
   double moved_ms = slow_end_ms_ + (took_ms > slow_end_ms_ ? step * slow_end_odds : -step);
   slow_end_ms_ = slow_end_ms_ == 0 ? took_ms * 2 : std::max(1.0, moved_ms);
@@ -95,28 +95,29 @@
   kind += kind_gain * (excess - kind);
 }
 
-void OutlierDetector::record_for_report(Endpoint& endpoint, bool failed, bool overloaded, double now) const {
+void OutlierDetector::record_for_report(Endpoint& endpoint, bool failed, bool overloaded,
+                                        double now_ms) const {
   auto& share = endpoint.outlier.failure_share;
-  share = failure_share(endpoint, now);
+  share = failure_share(endpoint, now_ms);
   if (!overloaded) share += report_gain * (failed - share);
 }
 
 // The more is out, the less time chance needs to be ruled out: a server that swallowed many requests was
 // still given more until the first timed out.
-bool OutlierDetector::silent(const Endpoint& endpoint, double now) const {
-  double quiet = now - endpoint.last_sign_at;
+bool OutlierDetector::silent(const Endpoint& endpoint, double now_ms) const {
+  double quiet = now_ms - endpoint.last_sign_at_ms;
   double factor = 1 + (silence_factor - 1) / std::max(1, endpoint.in_flight);
   return endpoint.in_flight > 0 && quiet > std::max(silence_floor_ms, factor * slow_end_ms_) &&
-         now - last_answer_at_ < quiet / 2;
+         now_ms - last_answer_at_ms_ < quiet / 2;
 }
 
-double OutlierDetector::failure_share(const Endpoint& endpoint, double now) {
-  return endpoint.outlier.failure_share * std::exp((endpoint.load.reported_at - now) / report_decay_ms);
+double OutlierDetector::failure_share(const Endpoint& endpoint, double now_ms) {
+  return endpoint.outlier.failure_share * std::exp((endpoint.load.reported_at_ms - now_ms) / report_decay_ms);
 }
 
-bool OutlierDetector::usable(const Endpoint& endpoint, double now) const {
-  return failure_share(endpoint, now) < failing_report && !ejected(endpoint, now) &&
-         !(endpoint.outlier.on_trial && endpoint.in_flight > 0) && !silent(endpoint, now);
+bool OutlierDetector::usable(const Endpoint& endpoint, double now_ms) const {
+  return failure_share(endpoint, now_ms) < failing_report && !ejected(endpoint, now_ms) &&
+         !(endpoint.outlier.on_trial && endpoint.in_flight > 0) && !silent(endpoint, now_ms);
 }
 
 double OutlierDetector::speed_factor(const Endpoint& endpoint) const {
@@ -130,13 +131,13 @@
 }
 
 // What a silent one holds is not the successor's, to whom it would look idle: a trial settles it.
-double OutlierDetector::ejected_for_successor(const Endpoint& endpoint, double now) const {
-  if (!ejected(endpoint, now) && !silent(endpoint, now)) return 0;
-  return std::max(endpoint.outlier.ejected_until, now + handed_over_ejection_ms);
+double OutlierDetector::ejected_for_successor(const Endpoint& endpoint, double now_ms) const {
+  if (!ejected(endpoint, now_ms) && !silent(endpoint, now_ms)) return 0;
+  return std::max(endpoint.outlier.ejected_until, now_ms + handed_over_ejection_ms);
 }
 
-void OutlierDetector::restore_ejection(Endpoint& endpoint, double until, double now) const {
-  endpoint.outlier.ejected_until = std::min(until, now + longest_ejection_ms);
+void OutlierDetector::restore_ejection(Endpoint& endpoint, double until, double now_ms) const {
+  endpoint.outlier.ejected_until = std::min(until, now_ms + longest_ejection_ms);
   endpoint.outlier.on_trial = true;
   endpoint.outlier.ejections = 1;
 }
--- a/src/policy/policy_core.hpp
+++ b/src/policy/policy_core.hpp
@@ -27,28 +27,28 @@
 
 // The parts refer to each other: it is neither copied nor moved. For the calls see Policy.
 struct Policy::Core {
-  Core(const Settings& table, std::uint64_t seed, double now);
+  Core(const Settings& table, std::uint64_t seed, double now_ms);
   Core(const Core&) = delete;
   Core& operator=(const Core&) = delete;
 
-  Decision decide(Request& request, double now);
-  Decision attempt_ended(Request& request, const AttemptResult& result, double now);
-  void response_started(Request& request, Attempt& attempt, double now);
-  void body_complete(Request& request, double due, double now);
+  Decision decide(Request& request, double now_ms);
+  Decision attempt_ended(Request& request, const AttemptResult& result, double now_ms);
+  void response_started(Request& request, Attempt& attempt, double now_ms);
+  void body_complete(Request& request, double deadline_ms, double now_ms);
   // A bit for each attempt in flight, where attempts can be cancelled.
   [[nodiscard]] std::uint32_t cancellable(const Request& request) const;
-  PeriodicActions tick(double now);
+  PeriodicActions tick(double now_ms);
 
-  void update_endpoints(EndpointListUpdate kind, std::span<const EndpointEntry> entries, double now);
-  void set_manual_drain(EndpointIndex index, bool drained, double now);
-  void gossip_received(const GossipContent& content, double now);
+  void update_endpoints(EndpointListUpdate kind, std::span<const EndpointEntry> entries, double now_ms);
+  void set_manual_drain(EndpointIndex index, bool drained, double now_ms);
+  void gossip_received(const GossipContent& content, double now_ms);
 
   // Listed endpoints that are drained by hand, ejected or silent; `unhealthy` gets the latter two.
-  [[nodiscard]] int unavailable(double now, std::vector<EndpointIndex>* unhealthy) const;
+  [[nodiscard]] int unavailable(double now_ms, std::vector<EndpointIndex>* unhealthy) const;
 
   [[nodiscard]] LearnedParts learned_parts() const;
-  [[nodiscard]] LearnedState learned_state(double now) const;
-  void restore(const LearnedState& state, double now);
+  [[nodiscard]] LearnedState learned_state(double now_ms) const;
+  void restore(const LearnedState& state, double now_ms);
 
   std::vector<std::string> log_lines;  // until the next tick
   PolicySettings settings;
@@ -66,18 +66,18 @@
   RetryPolicy retries;
   EndpointPicker picker;
   ListSubscription subscription;
-  double drops_logged_at = -never;
+  double drops_logged_at_ms = -never;
 
  private:
-  Decision hedge(Request& request, double now);
-  Decision send(Request& request, EndpointIndex index, double now);
-  Decision finish(Request& request, RejectionReason reason, double now);
-  void learn_from(const Attempt& attempt, RequestClass& request_class, double now);
-  Attempt& add_attempt(Request& request, EndpointIndex index, double now);
-  void start_work(Attempt& attempt, double now);
-  void end_work(Attempt& attempt, double now);
-  void log_drops(double now);
-  void update_endpoint(const EndpointEntry& entry, double now);
+  Decision hedge(Request& request, double now_ms);
+  Decision send(Request& request, EndpointIndex index, double now_ms);
+  Decision finish(Request& request, RejectionReason reason, double now_ms);
+  void learn_from(const Attempt& attempt, RequestClass& request_class, double now_ms);
+  Attempt& add_attempt(Request& request, EndpointIndex index, double now_ms);
+  void start_work(Attempt& attempt, double now_ms);
+  void end_work(Attempt& attempt, double now_ms);
+  void log_drops(double now_ms);
+  void update_endpoint(const EndpointEntry& entry, double now_ms);
 };
 
 }  // namespace meadowgauge
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -15,16 +15,16 @@
 
 }  // namespace
 
-Policy::Core::Core(const Settings& table, std::uint64_t seed, double now)
+Policy::Core::Core(const Settings& table, std::uint64_t seed, double now_ms)
     : settings(read_policy_settings(table, log_lines)),
       random(seed),
       classes(settings.request_classes),
-      throttle(random, now),
-      quotas(settings, now),
+      throttle(random, now_ms),
+      quotas(settings, now_ms),
       outliers(endpoints, random, log_lines),
-      load(settings, endpoints, outliers, random, now),
-      slow_start(settings, endpoints, load, random, now),
-      limiter(settings, endpoints, classes, load, slow_start, now),
+      load(settings, endpoints, outliers, random, now_ms),
+      slow_start(settings, endpoints, load, random, now_ms),
+      limiter(settings, endpoints, classes, load, slow_start, now_ms),
       locality(settings, endpoints, random),
       affinity(settings, endpoints, load, locality, random),
       retries(settings, endpoints, classes, throttle, outliers, load, limiter),
@@ -39,7 +39,7 @@
               .affinity = affinity,
               .retries = retries,
               .random = random}),
-      subscription(settings, random, log_lines, now) {}
+      subscription(settings, random, log_lines, now_ms) {}
 
 std::uint32_t Policy::Core::cancellable(const Request& request) const {
   std::uint32_t bits = 0;
@@ -48,14 +48,14 @@
   return bits;
 }
 
-Attempt& Policy::Core::add_attempt(Request& request, EndpointIndex index, double now) {
+Attempt& Policy::Core::add_attempt(Request& request, EndpointIndex index, double now_ms) {
   const auto& endpoint = endpoints[index];
   auto& attempt = request.attempts[static_cast<std::size_t>(request.attempt_count++)];
   attempt = {.endpoint = index,
              .zone = endpoint.zone,
              .cell = endpoint.cell,
-             .picked_at = now,
-             .sent_at = now,
+             .picked_at_ms = now_ms,
+             .sent_at_ms = now_ms,
              .outcome = Outcome::superseded,
              .held = endpoints.in_flight + 1,
              .in_flight = true};
@@ -63,37 +63,37 @@
   return attempt;
 }
 
-void Policy::Core::start_work(Attempt& attempt, double now) {
+void Policy::Core::start_work(Attempt& attempt, double now_ms) {
   auto& endpoint = endpoints[attempt.endpoint];
   attempt.counted = true;
   ++endpoints.in_flight;
-  if (endpoint.in_flight++ == 0) endpoint.last_sign_at = now;
+  if (endpoint.in_flight++ == 0) endpoint.last_sign_at_ms = now_ms;
 }
 
-void Policy::Core::end_work(Attempt& attempt, double now) {
+void Policy::Core::end_work(Attempt& attempt, double now_ms) {
   auto& endpoint = endpoints[attempt.endpoint];
-  endpoint.last_sign_at = now;
+  endpoint.last_sign_at_ms = now_ms;
   if (!std::exchange(attempt.counted, false)) return;
   --endpoints.in_flight;
   endpoint.in_flight = std::max(0, endpoint.in_flight - 1);
 }
 
 void Policy::Core::update_endpoints(EndpointListUpdate kind, std::span<const EndpointEntry> entries,
-                                    double now) {
-  if (kind == EndpointListUpdate::failed) return subscription.list_failed(now);
+                                    double now_ms) {
+  if (kind == EndpointListUpdate::failed) return subscription.list_failed(now_ms);
   if (kind != EndpointListUpdate::cached) subscription.list_received();
   auto& listed = endpoints.listed;
   if (kind != EndpointListUpdate::delta)
     for (int i : listed) endpoints[i].state = EndpointState::gone;
   for (const auto& entry : entries)
-    if (entry.endpoint >= 0) update_endpoint(entry, now);
+    if (entry.endpoint >= 0) update_endpoint(entry, now_ms);
   double sum = 0;
   for (int i : listed) sum += endpoints[i].weight;
   endpoints.mean_weight = listed.empty() ? 1 : sum / static_cast<double>(listed.size());
   std::erase_if(listed, [this](int i) { return endpoints[i].state == EndpointState::gone; });
 }
 
-void Policy::Core::update_endpoint(const EndpointEntry& entry, double now) {
+void Policy::Core::update_endpoint(const EndpointEntry& entry, double now_ms) {
   endpoints.add_up_to(entry.endpoint);
   auto& endpoint = endpoints[entry.endpoint];
   endpoint.state = entry.state;
@@ -108,10 +108,10 @@
     Endpoint was = std::exchange(endpoint, Endpoint{});
     endpoint.in_flight = was.in_flight;
     endpoint.manually_drained = was.manually_drained;
-    endpoint.drained_at = was.drained_at;
-    if (known) endpoint.restored_at = was.restored_at;
-    endpoint.last_sign_at = now;
-    slow_start.begin(endpoint, now);
+    endpoint.drained_at_ms = was.drained_at_ms;
+    if (known) endpoint.restored_at_ms = was.restored_at_ms;
+    endpoint.last_sign_at_ms = now_ms;
+    slow_start.begin(endpoint, now_ms);
   }
   endpoint.zone = entry.zone;
   endpoint.cell = entry.cell;
@@ -122,18 +122,18 @@
   endpoint.weight = settings.weighted && entry.weight > 0 ? entry.weight : 1;
   endpoint.up_since = std::max(endpoint.up_since, entry.up_since);
   endpoint.state = entry.state;
-  if (entry.manually_drained && !endpoint.manually_drained) endpoint.drained_at = now;
+  if (entry.manually_drained && !endpoint.manually_drained) endpoint.drained_at_ms = now_ms;
   endpoint.manually_drained = entry.manually_drained;
 }
 
 // Put back, nothing known of it counts, and the next request tries it; unless a list has told when it was
 // started again, it is warming up from now on.
-void Policy::Core::set_manual_drain(EndpointIndex index, bool drained, double now) {
+void Policy::Core::set_manual_drain(EndpointIndex index, bool drained, double now_ms) {
   if (!endpoints.knows(index) || endpoints[index].manually_drained == drained) return;
   auto& endpoint = endpoints[index];
   if (drained) {
     endpoint.manually_drained = true;
-    endpoint.drained_at = now;
+    endpoint.drained_at_ms = now_ms;
     return;
   }
   Endpoint was = std::exchange(endpoint, Endpoint{});
@@ -144,34 +144,34 @@
   endpoint.weight = was.weight;
   endpoint.id = was.id;
   endpoint.in_flight = was.in_flight;
-  endpoint.up_since = was.up_since > was.drained_at ? was.up_since : now;
-  endpoint.last_sign_at = endpoint.restored_at = now;
-  SlowStart::restore(endpoint, now);
+  endpoint.up_since = was.up_since > was.drained_at_ms ? was.up_since : now_ms;
+  endpoint.last_sign_at_ms = endpoint.restored_at_ms = now_ms;
+  SlowStart::restore(endpoint, now_ms);
 }
 
-int Policy::Core::unavailable(double now, std::vector<EndpointIndex>* unhealthy) const {
+int Policy::Core::unavailable(double now_ms, std::vector<EndpointIndex>* unhealthy) const {
   int count = 0;
   for (int i : endpoints.listed) {
     const auto& endpoint = endpoints[i];
     bool bad = endpoint.state == EndpointState::ready &&
-               (outliers.ejected(endpoint, now) || outliers.silent(endpoint, now));
+               (outliers.ejected(endpoint, now_ms) || outliers.silent(endpoint, now_ms));
     if (bad && unhealthy) unhealthy->push_back(i);
     count += endpoint.manually_drained || bad;
   }
   return count;
 }
 
-void Policy::Core::log_drops(double now) {
-  double dropped = throttle.drop_probability(now);
-  if (dropped > log_drops_from && now - drops_logged_at > log_drops_every_ms) {
+void Policy::Core::log_drops(double now_ms) {
+  double dropped = throttle.drop_probability(now_ms);
+  if (dropped > log_drops_from && now_ms - drops_logged_at_ms > log_drops_every_ms) {
     log_lines.push_back("throttle refuses " + std::to_string(std::lround(dropped * 100)) + " in 100");
-    drops_logged_at = now;
+    drops_logged_at_ms = now_ms;
   }
 }
 
-void Policy::Core::gossip_received(const GossipContent& content, double now) {
+void Policy::Core::gossip_received(const GossipContent& content, double now_ms) {
   affinity.gossip_received(content.keys);
-  load.gossip_received(content.endpoints, now);
+  load.gossip_received(content.endpoints, now_ms);
 }
 
 // What a successor would learn anew at its requests' cost. Outcomes, budgets and what is in flight are its
@@ -185,17 +185,17 @@
   return parts;
 }
 
-LearnedState Policy::Core::learned_state(double now) const {
+LearnedState Policy::Core::learned_state(double now_ms) const {
   LearnedState state;
   if (!limiter.knows_tier()) return state;
   save(learned_parts(), state);
   for (int i : endpoints.listed)
-    if (double until = outliers.ejected_for_successor(endpoints[i], now); until > 0)
+    if (double until = outliers.ejected_for_successor(endpoints[i], now_ms); until > 0)
       save_ejection(i, until, state);
   return state;
 }
 
-void Policy::Core::restore(const LearnedState& state, double now) {
+void Policy::Core::restore(const LearnedState& state, double now_ms) {
   if (state.empty() || limiter.knows_anything()) return;
   auto parts = learned_parts();
   meadowgauge::restore(state, parts);
@@ -207,24 +207,24 @@
   for (int i : endpoints.listed) {
     endpoints[i].unproven = false;
     auto until = saved_ejection(state, i);
-    if (until && *until > now) outliers.restore_ejection(endpoints[i], *until, now);
+    if (until && *until > now_ms) outliers.restore_ejection(endpoints[i], *until, now_ms);
   }
 }
 
-Policy::Policy(const Settings& settings, std::uint64_t seed, double now)
-    : core_(std::make_unique<Core>(settings, seed, now)) {}
+Policy::Policy(const Settings& settings, std::uint64_t seed, double now_ms)
+    : core_(std::make_unique<Core>(settings, seed, now_ms)) {}
 Policy::Policy(Policy&&) noexcept = default;
 Policy& Policy::operator=(Policy&&) noexcept = default;
 Policy::~Policy() = default;
 
-Decision Policy::decide(Request& request, double now) { return core_->decide(request, now); }
+Decision Policy::decide(Request& request, double now_ms) { return core_->decide(request, now_ms); }
 
-Decision Policy::attempt_ended(Request& request, const AttemptResult& result, double now) {
-  return core_->attempt_ended(request, result, now);
+Decision Policy::attempt_ended(Request& request, const AttemptResult& result, double now_ms) {
+  return core_->attempt_ended(request, result, now_ms);
 }
 
-AttemptTimeout Policy::attempt_timeout(const Request& request, double now) {
-  return core_->retries.timeout(request, now);
+AttemptTimeout Policy::attempt_timeout(const Request& request, double now_ms) {
+  return core_->retries.timeout(request, now_ms);
 }
 
 bool Policy::may_still_be_sent(const Request& request, int attempt) const {
@@ -236,43 +236,44 @@
   return {.cancel = core_->cancellable(request)};
 }
 
-Decision Policy::response_started(Request& request, int attempt, double now) {
+Decision Policy::response_started(Request& request, int attempt, double now_ms) {
   if (attempt < 0 || attempt >= request.attempt_count) return {};
-  core_->response_started(request, request.attempts[static_cast<std::size_t>(attempt)], now);
+  core_->response_started(request, request.attempts[static_cast<std::size_t>(attempt)], now_ms);
   return {.cancel = core_->cancellable(request) & ~(1u << attempt)};
 }
 
-void Policy::body_complete(Request& request, double due, double now) {
-  core_->body_complete(request, due, now);
+void Policy::body_complete(Request& request, double deadline_ms, double now_ms) {
+  core_->body_complete(request, deadline_ms, now_ms);
 }
 
-void Policy::update_endpoints(EndpointListUpdate kind, std::span<const EndpointEntry> entries, double now) {
-  core_->update_endpoints(kind, entries, now);
+void Policy::update_endpoints(EndpointListUpdate kind, std::span<const EndpointEntry> entries,
+                              double now_ms) {
+  core_->update_endpoints(kind, entries, now_ms);
 }
 
 void Policy::probe_ended(EndpointIndex endpoint, Outcome outcome, double took_ms,
-                         const LoadReport& load_report, double now) {
-  core_->load.probe_ended(endpoint, outcome, took_ms, load_report, now);
+                         const LoadReport& load_report, double now_ms) {
+  core_->load.probe_ended(endpoint, outcome, took_ms, load_report, now_ms);
 }
 
-void Policy::gossip_received(const GossipContent& content, double now) {
-  core_->gossip_received(content, now);
+void Policy::gossip_received(const GossipContent& content, double now_ms) {
+  core_->gossip_received(content, now_ms);
 }
 
-PeriodicActions Policy::tick(double now) { return core_->tick(now); }
+PeriodicActions Policy::tick(double now_ms) { return core_->tick(now_ms); }
 
-void Policy::set_manual_drain(EndpointIndex endpoint, bool drained, double now) {
-  core_->set_manual_drain(endpoint, drained, now);
+void Policy::set_manual_drain(EndpointIndex endpoint, bool drained, double now_ms) {
+  core_->set_manual_drain(endpoint, drained, now_ms);
 }
 
-LearnedState Policy::learned_state(double now) const { return core_->learned_state(now); }
+LearnedState Policy::learned_state(double now_ms) const { return core_->learned_state(now_ms); }
 
-void Policy::restore(const LearnedState& state, double now) { core_->restore(state, now); }
+void Policy::restore(const LearnedState& state, double now_ms) { core_->restore(state, now_ms); }
 
-int Policy::unavailable_endpoints(double now, std::vector<EndpointIndex>* unhealthy) const {
-  return core_->unavailable(now, unhealthy);
+int Policy::unavailable_endpoints(double now_ms, std::vector<EndpointIndex>* unhealthy) const {
+  return core_->unavailable(now_ms, unhealthy);
 }
 
-double Policy::drop_probability(double now) const { return core_->throttle.drop_probability(now); }
+double Policy::drop_probability(double now_ms) const { return core_->throttle.drop_probability(now_ms); }
 
 }  // namespace meadowgauge
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -22,8 +22,8 @@
   return attempt.in_flight || (o != rejected && o != unreachable && o != superseded);
 }
 
-static bool still_remembered(const Attempt& attempt, const RequestClassSettings& rules, double now) {
-  return now - attempt.picked_at <= rules.key_ttl_ms * (1 - ttl_margin);
+static bool still_remembered(const Attempt& attempt, const RequestClassSettings& rules, double now_ms) {
+  return now_ms - attempt.picked_at_ms <= rules.key_ttl_ms * (1 - ttl_margin);
 }
 
 // Whether the endpoint is in another group than that in which the attempt was to run.
@@ -37,21 +37,21 @@
   return std::clamp(all_budgets / settings.replicas, 1.0, most_budget);
 }
 
-RejectionReason RetryPolicy::forbids(const Request& request, const Endpoint& endpoint, double now) const {
+RejectionReason RetryPolicy::forbids(const Request& request, const Endpoint& endpoint, double now_ms) const {
   int sent = request.attempt_count;
   if (request.answered || request.streaming || sent >= settings_.max_attempts)
     return RejectionReason::attempts;
   if (sent > 0 && (request.body_forwarded || (request.large_body && request.in_flight > 0)))
     return RejectionReason::attempts;
   // The last was given up for want of time: another would put off the final answer past the due time.
-  double last_at = request.due - (sent > 0 ? last_ticks * settings_.wire_tick_ms : 0);
-  if (now >= last_at) return RejectionReason::deadline;
+  double last_at_ms = request.deadline_ms - (sent > 0 ? last_ticks * settings_.wire_tick_ms : 0);
+  if (now_ms >= last_at_ms) return RejectionReason::deadline;
   if (!endpoint.takes_requests()) return RejectionReason::no_server;
   const auto& rules = classes_.of(request).settings;
   for (const auto& attempt : request.sent_attempts()) {
     if (attempt.in_flight && !settings_.second_copies) return RejectionReason::attempts;
     if (!may_have_run(attempt) || rules.idempotency == Idempotency::idempotent) continue;
-    if (!rules.repeatable() || !still_remembered(attempt, rules, now) || outside(rules, attempt, endpoint))
+    if (!rules.repeatable() || !still_remembered(attempt, rules, now_ms) || outside(rules, attempt, endpoint))
       return RejectionReason::not_repeatable;
   }
   return RejectionReason::none;
@@ -62,19 +62,19 @@
   return !outside(classes_.of(request).settings, attempt, endpoints_[attempt.endpoint]);
 }
 
-bool RetryPolicy::client_may_repeat(const Request& request, double at) const {
+bool RetryPolicy::client_may_repeat(const Request& request, double at_ms) const {
   const auto& rules = classes_.of(request).settings;
   if (rules.idempotency == Idempotency::idempotent) return true;
   bool anywhere = rules.idempotency == Idempotency::deduplicated && rules.group == DeduplicationGroup::all;
   return std::ranges::all_of(request.sent_attempts(), [&](const Attempt& attempt) {
-    return !may_have_run(attempt) || (anywhere && still_remembered(attempt, rules, at));
+    return !may_have_run(attempt) || (anywhere && still_remembered(attempt, rules, at_ms));
   });
 }
 
 void RetryPolicy::record_arrival() { budget_ = std::min(largest_budget_, budget_ + retries_per_request); }
 
-bool RetryPolicy::may_retry(Outcome outcome, double now) const {
-  return outcome != Outcome::cancelled && !budget_spent() && throttle_.drop_probability(now) <= 0;
+bool RetryPolicy::may_retry(Outcome outcome, double now_ms) const {
+  return outcome != Outcome::cancelled && !budget_spent() && throttle_.drop_probability(now_ms) <= 0;
 }
 
 bool RetryPolicy::may_copy(const Request& request) const {
@@ -88,10 +88,10 @@
 }
 
 // What takes long mostly is much work, which a copy would do twice; what is short is behind such.
-bool RetryPolicy::wants_copy(const Request& request, double now) const {
+bool RetryPolicy::wants_copy(const Request& request, double now_ms) const {
   const auto& endpoint = endpoints_[request.sent_attempts().back().endpoint];
-  return (is_short(request) || outliers_.ejected(endpoint, now) || outliers_.silent(endpoint, now)) &&
-         may_retry(Outcome::timeout, now);
+  return (is_short(request) || outliers_.ejected(endpoint, now_ms) || outliers_.silent(endpoint, now_ms)) &&
+         may_retry(Outcome::timeout, now_ms);
 }
 
 void RetryPolicy::spend_copy(const Request& request) {
@@ -99,20 +99,20 @@
 }
 
 // Judged only when an attempt is decided, a window could end while it waits for a connection.
-double RetryPolicy::send_by_ms(const Request& request, double now) const {
+double RetryPolicy::send_by_ms(const Request& request, double now_ms) const {
   const auto& rules = classes_.of(request).settings;
   double latest_ms = never;
   for (const auto& attempt : request.sent_attempts().first(request.sent_attempts().size() - 1))
     if (rules.idempotency == Idempotency::deduplicated && may_have_run(attempt))
-      latest_ms = std::min(latest_ms, attempt.picked_at + rules.key_ttl_ms * (1 - ttl_margin) - now);
+      latest_ms = std::min(latest_ms, attempt.picked_at_ms + rules.key_ttl_ms * (1 - ttl_margin) - now_ms);
   return latest_ms;
 }
 
-AttemptTimeout RetryPolicy::timeout(const Request& request, double now) const {
+AttemptTimeout RetryPolicy::timeout(const Request& request, double now_ms) const {
   AttemptTimeout t;
   double tick_ms = settings_.wire_tick_ms, slow_end_ms = outliers_.slow_end_ms();
-  t.limit_ms = std::max(tick_ms, request.due - now - answer_ticks * tick_ms);
-  if (request.attempt_count > 0) t.send_by_ms = send_by_ms(request, now);
+  t.limit_ms = std::max(tick_ms, request.deadline_ms - now_ms - answer_ticks * tick_ms);
+  if (request.attempt_count > 0) t.send_by_ms = send_by_ms(request, now_ms);
   // Where no copy may go beside it, what takes longer than nearly all is given up in time for another.
   double give_up_ms = classes_.of(request).settings.target_ms * give_up_share;
   if (!settings_.second_copies && load_.by_reports() && request.attempt_count < 2 &&
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -28,29 +28,30 @@
         largest_budget_(budget_) {}
 
   // Why the rules forbid an attempt there now; none: they don't. Every attempt passes this.
-  [[nodiscard]] RejectionReason forbids(const Request& request, const Endpoint& endpoint, double now) const;
+  [[nodiscard]] RejectionReason forbids(const Request& request, const Endpoint& endpoint,
+                                        double now_ms) const;
   // Whether an attempt that has not been sent yet may be, wherever its endpoint stands by now.
   [[nodiscard]] bool may_still_be_sent(const Request& request, const Attempt& attempt) const;
   // Whether the client may send it again at `at`: no attempt may have run whose repetition does harm then.
-  [[nodiscard]] bool client_may_repeat(const Request& request, double at) const;
+  [[nodiscard]] bool client_may_repeat(const Request& request, double at_ms) const;
 
   // The retry budget: grows with each request that arrives.
   void record_arrival();
   [[nodiscard]] bool budget_spent() const { return budget_ < 1; }
   void spend_retry() { budget_ -= 1; }
   // Whether there may be another attempt after one that ended so.
-  [[nodiscard]] bool may_retry(Outcome outcome, double now) const;
+  [[nodiscard]] bool may_retry(Outcome outcome, double now_ms) const;
 
   // Hedged requests: whether a second copy may go beside the first, and whether it is to go now.
   [[nodiscard]] bool may_copy(const Request& request) const;
-  [[nodiscard]] bool wants_copy(const Request& request, double now) const;
+  [[nodiscard]] bool wants_copy(const Request& request, double now_ms) const;
   void spend_copy(const Request& request);
 
-  [[nodiscard]] AttemptTimeout timeout(const Request& request, double now) const;
+  [[nodiscard]] AttemptTimeout timeout(const Request& request, double now_ms) const;
 
  private:
   // How long the newest attempt may take until its last byte is out; never: as long as it may take at all.
-  [[nodiscard]] double send_by_ms(const Request& request, double now) const;
+  [[nodiscard]] double send_by_ms(const Request& request, double now_ms) const;
   [[nodiscard]] static double largest_budget(const PolicySettings& settings);
   [[nodiscard]] bool is_short(const Request& request) const;
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -11,9 +11,9 @@
 constexpr double idle_load = 0.5;          // below this a probe has found nothing to do there
 constexpr double rate_decay_ms = 5000;     // successes count over this time
 
-double SlowStart::speed(const Endpoint& endpoint, double now) const {
-  if (!warming_up(endpoint, now)) return 1;
-  double part = std::clamp((now - endpoint.up_since) / settings_.slow_start_ms, 0.0, 1.0);
+double SlowStart::speed(const Endpoint& endpoint, double now_ms) const {
+  if (!warming_up(endpoint, now_ms)) return 1;
+  double part = std::clamp((now_ms - endpoint.up_since) / settings_.slow_start_ms, 0.0, 1.0);
   return settings_.starting_share + (1 - settings_.starting_share) * part;
 }
 
@@ -22,63 +22,64 @@
   return usual_rate_ * settings_.overload_factor * speed * safety;
 }
 
-void SlowStart::begin(Endpoint& endpoint, double now) {
-  restore(endpoint, now);
+void SlowStart::begin(Endpoint& endpoint, double now_ms) {
+  restore(endpoint, now_ms);
   // A whole token with each of hundreds pushed servers over at their start: the rest comes evenly.
   double part = std::max(share_per_ms(settings_.starting_share) * settings_.overload_for_ms,
                          few_balancers / settings_.replicas);
   if (part < 1 && random_.uniform() >= part) endpoint.slow_start.tokens = random_.uniform();
 }
 
-void SlowStart::restore(Endpoint& endpoint, double now) {
+void SlowStart::restore(Endpoint& endpoint, double now_ms) {
   endpoint.slow_start.tokens = burst;
-  endpoint.slow_start.refilled_at = now;
+  endpoint.slow_start.refilled_at_ms = now_ms;
 }
 
-void SlowStart::find_warmed_up(double now) {
+void SlowStart::find_warmed_up(double now_ms) {
   any_warmed_up_ = std::ranges::any_of(endpoints_.listed, [&](int i) {
-    return endpoints_[i].takes_requests() && !warming_up(endpoints_[i], now);
+    return endpoints_[i].takes_requests() && !warming_up(endpoints_[i], now_ms);
   });
 }
 
-void SlowStart::refill(Endpoint& endpoint, double now) const {
-  if (!warming_up(endpoint, now)) return;
+void SlowStart::refill(Endpoint& endpoint, double now_ms) const {
+  if (!warming_up(endpoint, now_ms)) return;
   auto& s = endpoint.slow_start;
-  s.tokens = std::min(burst, s.tokens + share_per_ms(speed(endpoint, now)) * (now - s.refilled_at));
-  s.refilled_at = now;
+  s.tokens = std::min(burst, s.tokens + share_per_ms(speed(endpoint, now_ms)) * (now_ms - s.refilled_at_ms));
+  s.refilled_at_ms = now_ms;
 }
 
-bool SlowStart::idle(const Endpoint& endpoint, double now) const {
-  return endpoint.in_flight == 0 && now - endpoint.slow_start.failed_at > failure_pause_ms;
+bool SlowStart::idle(const Endpoint& endpoint, double now_ms) const {
+  return endpoint.in_flight == 0 && now_ms - endpoint.slow_start.failed_at_ms > failure_pause_ms;
 }
 
-bool SlowStart::probed_idle(const Endpoint& endpoint, double now) const {
-  return load_.probed_of_late(endpoint, now) && endpoint.load.probed_load < idle_load && idle(endpoint, now);
+bool SlowStart::probed_idle(const Endpoint& endpoint, double now_ms) const {
+  return load_.probed_of_late(endpoint, now_ms) && endpoint.load.probed_load < idle_load &&
+         idle(endpoint, now_ms);
 }
 
 // With none warm, one request at a time goes to each: what waits for its answer can't outrun the server.
-bool SlowStart::admits(const Endpoint& endpoint, double now) const {
-  return !warming_up(endpoint, now) || endpoint.slow_start.tokens >= 1 ||
-         (!any_warmed_up_ && idle(endpoint, now)) || probed_idle(endpoint, now);
+bool SlowStart::admits(const Endpoint& endpoint, double now_ms) const {
+  return !warming_up(endpoint, now_ms) || endpoint.slow_start.tokens >= 1 ||
+         (!any_warmed_up_ && idle(endpoint, now_ms)) || probed_idle(endpoint, now_ms);
 }
 
-void SlowStart::spend(Endpoint& endpoint, double now) const {
-  if (warming_up(endpoint, now) && !probed_idle(endpoint, now))
+void SlowStart::spend(Endpoint& endpoint, double now_ms) const {
+  if (warming_up(endpoint, now_ms) && !probed_idle(endpoint, now_ms))
     endpoint.slow_start.tokens = std::max(0.0, endpoint.slow_start.tokens - 1);
 }
 
-void SlowStart::tick(double interval_ms, double now) {
+void SlowStart::tick(double interval_ms, double now_ms) {
   double rates = 0;
   int warmed_up = 0;
   double left = std::exp(-interval_ms / rate_decay_ms);
   for (int i : endpoints_.listed) {
     auto& endpoint = endpoints_[i];
     endpoint.slow_start.success_rate *= left;
-    if (!endpoint.takes_requests() || warming_up(endpoint, now)) continue;
+    if (!endpoint.takes_requests() || warming_up(endpoint, now_ms)) continue;
     rates += endpoint.slow_start.success_rate;
     ++warmed_up;
   }
-  double seen_ms = rate_decay_ms * (1 - std::exp(-(now - started_ + 1) / rate_decay_ms));
+  double seen_ms = rate_decay_ms * (1 - std::exp(-(now_ms - started_ + 1) / rate_decay_ms));
   if (warmed_up > 0) usual_rate_ = rates / warmed_up / seen_ms;
 }
 
--- a/src/policy/tenant_quotas.hpp
+++ b/src/policy/tenant_quotas.hpp
@@ -10,11 +10,11 @@
 
 class TenantQuotas {
  public:
-  TenantQuotas(const PolicySettings& settings, double now);
+  TenantQuotas(const PolicySettings& settings, double now_ms);
 
   // A request of this tenant has arrived. True: it is beyond both the tenant's quota and its share of what
   // arrives here. A tenant that is not known has neither.
-  bool exceeded_by(int tenant, double now);
+  bool exceeded_by(int tenant, double now_ms);
 
  private:
   struct Tenant {
@@ -22,7 +22,7 @@
     double quota_per_ms = 0;  // this balancer's part; 0: none
     double share_left = 0;    // requests
     double quota_left = 0;    // requests
-    double refilled_at = 0;
+    double refilled_at_ms = 0;
   };
   std::vector<Tenant> tenants_;
 };
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -97,15 +97,15 @@
 // One try of a request at one endpoint.
 struct Attempt {
   EndpointIndex endpoint = no_endpoint;
-  int zone = 0, cell = 0;  // of the endpoint when it was picked
-  double picked_at = 0;    // the window of an idempotency key begins here, before its first byte is out
-  double sent_at = 0;      // the same, or when a body that was still coming had come
+  int zone = 0, cell = 0;   // of the endpoint when it was picked
+  double picked_at_ms = 0;  // the window of an idempotency key begins here, before its first byte is out
+  double sent_at_ms = 0;    // the same, or when a body that was still coming had come
   Outcome outcome = Outcome::succeeded;  // meaningful once it is no longer in flight
   int held = 0;  // attempts in flight to all endpoints when it was sent, itself among them
   bool in_flight = false;
-  bool counted = false;            // among those that its endpoint is known to work on
-  float expected_ms = 0;           // its predicted duration; 0: nothing was known
-  double response_started_at = 0;  // 0: not yet
+  bool counted = false;               // among those that its endpoint is known to work on
+  float expected_ms = 0;              // its predicted duration; 0: nothing was known
+  double response_started_at_ms = 0;  // 0: not yet
 };
 
 // A request in hand. The caller makes it at arrival and keeps it until it is answered and no attempt is in
@@ -113,8 +113,8 @@
 struct Request {
   int request_class = 0;
   int tenant = 0;
-  double arrived = 0;
-  double due = 0;             // the client stops waiting then
+  double arrived_ms = 0;
+  double deadline_ms = 0;     // the client stops waiting then
   bool client_retry = false;  // the client has sent it before
   double work_ms = 0;         // a hint of what it costs; 0: none
   std::uint64_t key = 0;      // what it is about; 0: none
--- a/src/program/admin_service.cpp
+++ b/src/program/admin_service.cpp
@@ -58,8 +58,8 @@
 
 void AdminService::advance_takeover() {
   auto others = shared_.locks.scan();
-  double now = clock_.now();
-  auto actions = takeover_.update(others, balancer_.endpoint_list_received(), now);
+  double now_ms = clock_.now();
+  auto actions = takeover_.update(others, balancer_.endpoint_list_received(), now_ms);
   if (actions.set_share) balancer_.limit_to_share(actions.share);
   if (actions.listen) {
     balancer_.listen();
@@ -71,7 +71,7 @@
   if (!actions.save_snapshot) return;
   if (auto learned = balancer_.learned_state(); !learned.empty())
     static_cast<void>(
-        shared_.directory.write(hot_restart::snapshot_file, hot_restart::encode_snapshot(learned, now)));
+        shared_.directory.write(hot_restart::snapshot_file, hot_restart::encode_snapshot(learned, now_ms)));
 }
 
 }  // namespace meadowgauge::program
--- a/src/program/fleet_coordinator.cpp
+++ b/src/program/fleet_coordinator.cpp
@@ -48,19 +48,21 @@
     : loop_(loop),
       config_(std::move(config)),
       log_(std::move(log)),
-      started_at_(clock_.now()),
-      incarnation_(static_cast<std::uint64_t>(started_at_)),
+      started_at_ms_(clock_.now()),
+      incarnation_(static_cast<std::uint64_t>(started_at_ms_)),
       config_digest_(config_.digest()),
       members_(config_.name, incarnation_, config_.timing, seed),
       limits_(fresh_limits()),
       verdicts_(config_.name),
       socket_(loop, clock_,
-              [this](PeerIndex peer, const Datagram& datagram, double now) { receive(peer, datagram, now); }),
+              [this](PeerIndex peer, const Datagram& datagram, double now_ms) {
+                receive(peer, datagram, now_ms);
+              }),
       timer_(start_timer(tick_ms)),
       token_(loop_.add(timer_.get(), *this, EPOLLIN)) {
   set_members();
-  due_.next_drop_log = started_at_ + drop_log_interval_ms;
-  tick(started_at_);
+  due_.next_drop_log = started_at_ms_ + drop_log_interval_ms;
+  tick(started_at_ms_);
 }
 
 FleetCoordinator::~FleetCoordinator() { loop_.remove(token_, timer_.get()); }
@@ -88,7 +90,7 @@
 }
 
 void FleetCoordinator::reload(const std::optional<fleet::FleetConfig>& config) {
-  double now = clock_.now();
+  double now_ms = clock_.now();
   if (!config) {
     if (!std::exchange(disabled_, true)) log_(Level::warning, "fleet: off; its limits are held no longer");
     socket_.close();
@@ -113,7 +115,7 @@
   if (std::exchange(disabled_, false))
     limits_ = fresh_limits();
   else if (digest != config_digest_)
-    limits_.reload(config_.terms, now);
+    limits_.reload(config_.terms, now_ms);
   config_digest_ = digest;
   limits_in_force_ = limits_.in_force();
   log_(Level::info, "fleet: file taken over; " + std::to_string(config_.members.size()) + " instances, " +
@@ -156,14 +158,14 @@
           .quotas = {}};
 }
 
-bool FleetCoordinator::may_send_lease_datagram(double now) {
-  return lease_datagrams_.try_take(config_.lease_datagrams_per_s, now);
+bool FleetCoordinator::may_send_lease_datagram(double now_ms) {
+  return lease_datagrams_.try_take(config_.lease_datagrams_per_s, now_ms);
 }
 
 // `now` is read after the datagram came: a lender that was paused in between must not count a lease from
 // before the request.
-void FleetCoordinator::receive(PeerIndex peer, const Datagram& datagram, double now) {
-  switch (members_.accept_datagram(peer, datagram.incarnation, datagram.sequence, now)) {
+void FleetCoordinator::receive(PeerIndex peer, const Datagram& datagram, double now_ms) {
+  switch (members_.accept_datagram(peer, datagram.incarnation, datagram.sequence, now_ms)) {
     case Freshness::fresh:
       break;
     case Freshness::earlier_incarnation:
@@ -171,38 +173,38 @@
     case Freshness::duplicate:
       return socket_.count_drop(DropReason::duplicate_or_late);
   }
-  merge_states(peer, datagram, now);
+  merge_states(peer, datagram, now_ms);
   bool files_agree = datagram.config_digest == config_digest_;
-  if (datagram.kind == DatagramKind::lease_request && files_agree) answer_request(peer, datagram, now);
-  if (datagram.kind == DatagramKind::lease_grant && files_agree) accept_grant(peer, datagram, now);
+  if (datagram.kind == DatagramKind::lease_request && files_agree) answer_request(peer, datagram, now_ms);
+  if (datagram.kind == DatagramKind::lease_grant && files_agree) accept_grant(peer, datagram, now_ms);
 }
 
-void FleetCoordinator::merge_states(PeerIndex peer, const Datagram& datagram, double now) {
+void FleetCoordinator::merge_states(PeerIndex peer, const Datagram& datagram, double now_ms) {
   bool is_gossip = datagram.kind == DatagramKind::gossip;
-  double delay_ms = is_gossip ? members_.transit_delay_ms(peer, datagram.sent_at_ms, now) : 0;
+  double delay_ms = is_gossip ? members_.transit_delay_ms(peer, datagram.sent_at_ms, now_ms) : 0;
   for (auto state : datagram.members) {
     state.age_ms += delay_ms;
-    if (members_.merge(state, now) != Freshness::fresh || !config_.verdicts) continue;
+    if (members_.merge(state, now_ms) != Freshness::fresh || !config_.verdicts) continue;
     bool newly_failing =
-        verdicts_.merge(state.name, state.observations, state.unhealthy_share, now - state.age_ms);
+        verdicts_.merge(state.name, state.observations, state.unhealthy_share, now_ms - state.age_ms);
     gossip_is_urgent_ = gossip_is_urgent_ || newly_failing;
   }
 }
 
 // The budget is asked before anything is lent for the request.
-void FleetCoordinator::answer_request(PeerIndex peer, const Datagram& request, double now) {
-  if (!may_send_lease_datagram(now)) return;
+void FleetCoordinator::answer_request(PeerIndex peer, const Datagram& request, double now_ms) {
+  if (!may_send_lease_datagram(now_ms)) return;
   auto grant = new_datagram(DatagramKind::lease_grant);
   grant.sent_at_ms = request.sent_at_ms;
   grant.recipient_incarnation = request.incarnation;
-  grant.quotas = limits_.grant(peer, request.incarnation, request.quotas, now);
+  grant.quotas = limits_.grant(peer, request.incarnation, request.quotas, now_ms);
   ++counters_.lease_answers;
   socket_.send(peer, membership::encode_datagram(grant).bytes);
 }
 
-void FleetCoordinator::accept_grant(PeerIndex peer, const Datagram& grant, double now) {
+void FleetCoordinator::accept_grant(PeerIndex peer, const Datagram& grant, double now_ms) {
   if (grant.recipient_incarnation != incarnation_) return socket_.count_drop(DropReason::earlier_incarnation);
-  if (limits_.accept_grant(peer, started_at_ + grant.sent_at_ms, grant.quotas, now))
+  if (limits_.accept_grant(peer, started_at_ms_ + grant.sent_at_ms, grant.quotas, now_ms))
     ++counters_.leases_received;
   else
     socket_.count_drop(DropReason::duplicate_or_late);
@@ -215,21 +217,21 @@
   if (read(timer_.get(), &expirations, sizeof expirations) > 0 && !disabled_) tick(clock_.now());
 }
 
-void FleetCoordinator::tick(double now) {
+void FleetCoordinator::tick(double now_ms) {
   if (left_) return;
-  if (!socket_.is_open() && now >= due_.next_bind) {
-    due_.next_bind = now + bind_interval_ms;
+  if (!socket_.is_open() && now_ms >= due_.next_bind) {
+    due_.next_bind = now_ms + bind_interval_ms;
     bind_address();
   }
   if (socket_.is_open()) {
-    update_members(now);
-    if (config_.verdicts && balancer_ && now >= due_.next_verdicts) update_verdicts(now);
-    bool urgent = gossip_is_urgent_ && now >= due_.last_gossip + urgent_gossip_interval_ms;
-    if (now >= due_.next_gossip || urgent) send_gossip(now);
-    bool rejected = limits_.rejected_lately() && now >= due_.next_urgent_requests;
-    if (now >= due_.next_lease_requests || rejected) send_lease_requests(now);
+    update_members(now_ms);
+    if (config_.verdicts && balancer_ && now_ms >= due_.next_verdicts) update_verdicts(now_ms);
+    bool urgent = gossip_is_urgent_ && now_ms >= due_.last_gossip + urgent_gossip_interval_ms;
+    if (now_ms >= due_.next_gossip || urgent) send_gossip(now_ms);
+    bool rejected = limits_.rejected_lately() && now_ms >= due_.next_urgent_requests;
+    if (now_ms >= due_.next_lease_requests || rejected) send_lease_requests(now_ms);
   }
-  if (now >= due_.next_drop_log) log_drops(now);
+  if (now_ms >= due_.next_drop_log) log_drops(now_ms);
 }
 
 // The time is read anew: a process that was paused before it had the address may have waited for a
@@ -247,67 +249,67 @@
                          "; goes on without a share of its own, and tries again");
 }
 
-void FleetCoordinator::send_gossip(double now) {
-  if (now >= due_.next_gossip)
-    due_.next_gossip = std::max(due_.next_gossip + config_.timing.interval_ms, now);
-  due_.last_gossip = now;
+void FleetCoordinator::send_gossip(double now_ms) {
+  if (now_ms >= due_.next_gossip)
+    due_.next_gossip = std::max(due_.next_gossip + config_.timing.interval_ms, now_ms);
+  due_.last_gossip = now_ms;
   gossip_is_urgent_ = false;
-  auto own = members_.next_own_state(limits_.lendable(now), config_digest_);
+  auto own = members_.next_own_state(limits_.lendable(now_ms), config_digest_);
   if (config_.verdicts) {
-    own.observations = verdicts_.observations(now);
-    own.unhealthy_share = verdicts_.unhealthy_share(now);
+    own.observations = verdicts_.observations(now_ms);
+    own.unhealthy_share = verdicts_.unhealthy_share(now_ms);
   }
   for (auto peer : members_.next_targets()) {
     auto datagram = new_datagram(DatagramKind::gossip);
-    datagram.members = members_.states_to_gossip(own, now);
-    datagram.sent_at_ms = clock_.now() - started_at_;
+    datagram.members = members_.states_to_gossip(own, now_ms);
+    datagram.sent_at_ms = clock_.now() - started_at_ms_;
     auto encoded = membership::encode_datagram(datagram);
     socket_.send(peer, encoded.bytes);
     members_.gossip_sent(encoded.member_count);
   }
 }
 
-void FleetCoordinator::send_lease_requests(double now) {
-  due_.next_lease_requests = now + limits_.lease_ms() / requests_per_lease;
-  due_.next_urgent_requests = now + limits_.lease_ms() / urgent_requests_per_lease;
-  for (auto& request : limits_.lease_requests(now)) {
+void FleetCoordinator::send_lease_requests(double now_ms) {
+  due_.next_lease_requests = now_ms + limits_.lease_ms() / requests_per_lease;
+  due_.next_urgent_requests = now_ms + limits_.lease_ms() / urgent_requests_per_lease;
+  for (auto& request : limits_.lease_requests(now_ms)) {
     auto datagram = new_datagram(DatagramKind::lease_request);
-    datagram.sent_at_ms = now - started_at_;
+    datagram.sent_at_ms = now_ms - started_at_ms_;
     datagram.quotas = std::move(request.quotas);
-    if (!may_send_lease_datagram(now)) return;
+    if (!may_send_lease_datagram(now_ms)) return;
     socket_.send(request.lender, membership::encode_datagram(datagram).bytes);
     ++counters_.lease_requests;
   }
 }
 
-void FleetCoordinator::update_members(double now) {
+void FleetCoordinator::update_members(double now_ms) {
   for (auto peer : members_.members()) {
-    limits_.set_offer(peer, fleet::usable_offer(members_, peer, config_digest_, now));
-    auto status = members_.status(peer, now);
+    limits_.set_offer(peer, fleet::usable_offer(members_, peer, config_digest_, now_ms));
+    auto status = members_.status(peer, now_ms);
     if (std::exchange(logged_status_[membership::slot(peer)], status) == status) continue;
     log_(Level::info, "fleet: " + members_.name(peer) + " is " + std::string(name_of(status)));
   }
-  limits_.update_agreement(fleet::compare_configs(members_, config_digest_, now), now);
+  limits_.update_agreement(fleet::compare_configs(members_, config_digest_, now_ms), now_ms);
   bool were_in_force = std::exchange(limits_in_force_, limits_.in_force());
   if (limits_in_force_ && !were_in_force) log_(Level::info, "fleet: all agree on the file; its shares hold");
 }
 
 // The policy lets what it is told fade: it is told again as long as the server is ejected. For one that is
 // not any longer, a newer word that it is well replaces the last.
-void FleetCoordinator::update_verdicts(double now) {
-  due_.next_verdicts = now + verdict_interval_ms;
-  bool newly_failing = verdicts_.record_suspects(balancer_->ejected_servers(), now);
+void FleetCoordinator::update_verdicts(double now_ms) {
+  due_.next_verdicts = now_ms + verdict_interval_ms;
+  bool newly_failing = verdicts_.record_suspects(balancer_->ejected_servers(), now_ms);
   gossip_is_urgent_ = gossip_is_urgent_ || newly_failing;
   std::vector<std::string> alive;
   std::vector<std::string> known;
   for (auto peer : members_.members()) {
     known.push_back(members_.name(peer));
-    if (members_.status(peer, now) == MemberStatus::alive) alive.push_back(members_.name(peer));
+    if (members_.status(peer, now_ms) == MemberStatus::alive) alive.push_back(members_.name(peer));
   }
   std::sort(alive.begin(), alive.end());
   std::sort(known.begin(), known.end());
-  verdicts_.expire(known, now);
-  auto ejected = verdicts_.ejected(balancer_->listed_servers(), alive, now);
+  verdicts_.expire(known, now_ms);
+  auto ejected = verdicts_.ejected(balancer_->listed_servers(), alive, now_ms);
   GossipContent gossip;
   for (auto server : ejected)
     gossip.endpoints.push_back({.id = server, .response_ms = 0, .failure_share = 1, .age_ms = 0});
@@ -321,8 +323,8 @@
   if (!gossip.endpoints.empty()) balancer_->gossip_received(gossip);
 }
 
-void FleetCoordinator::log_drops(double now) {
-  due_.next_drop_log = now + drop_log_interval_ms;
+void FleetCoordinator::log_drops(double now_ms) {
+  due_.next_drop_log = now_ms + drop_log_interval_ms;
   const auto& dropped = socket_.counters().dropped;
   for (std::size_t reason = 0; reason < dropped.size(); ++reason) {
     auto since_last = dropped[reason] - std::exchange(logged_drops_[reason], dropped[reason]);
@@ -338,9 +340,9 @@
 
 std::vector<std::pair<std::string, double>> FleetCoordinator::figures() const {
   if (disabled_) return {};
-  double now = clock_.now();
+  double now_ms = clock_.now();
   std::array<int, std::size(status_names)> by_status{};
-  for (auto peer : members_.members()) ++by_status[static_cast<std::size_t>(members_.status(peer, now))];
+  for (auto peer : members_.members()) ++by_status[static_cast<std::size_t>(members_.status(peer, now_ms))];
   const auto& socket = socket_.counters();
   auto total = [](std::uint64_t count) { return static_cast<double>(count); };
   std::vector<std::pair<std::string, double>> figures{{"fleet.alive", by_status[0]},
@@ -364,19 +366,19 @@
     for (char c : membership::name_of(static_cast<DropReason>(reason))) name += c == ' ' ? '_' : c;
     figures.emplace_back(name, total(socket.dropped[reason]));
   }
-  append_limit_figures(figures, now);
+  append_limit_figures(figures, now_ms);
   return figures;
 }
 
 void FleetCoordinator::append_limit_figures(std::vector<std::pair<std::string, double>>& figures,
-                                            double now) const {
+                                            double now_ms) const {
   for (int i = 0; i < limits_.size(); ++i) {
     const auto& quota = limits_.quota(i);
     auto prefix = "fleet.limit." + limits_.limit(i).name + ".";
-    figures.emplace_back(prefix + "right", quota.available_rate(now));
-    figures.emplace_back(prefix + "lent", quota.lent(now));
-    figures.emplace_back(prefix + "borrowed", quota.borrowed(now));
-    figures.emplace_back(prefix + "asked_for", quota.demand(now));
+    figures.emplace_back(prefix + "right", quota.available_rate(now_ms));
+    figures.emplace_back(prefix + "lent", quota.lent(now_ms));
+    figures.emplace_back(prefix + "borrowed", quota.borrowed(now_ms));
+    figures.emplace_back(prefix + "asked_for", quota.demand(now_ms));
   }
 }
 
--- a/src/program/fleet_coordinator.hpp
+++ b/src/program/fleet_coordinator.hpp
@@ -65,28 +65,28 @@
   using DropCounts = std::array<std::uint64_t, static_cast<std::size_t>(membership::DropReason::count)>;
 
   void ready(std::uint32_t events) override;
-  void receive(membership::PeerIndex peer, const membership::Datagram& datagram, double now);
-  void merge_states(membership::PeerIndex peer, const membership::Datagram& datagram, double now);
-  void answer_request(membership::PeerIndex peer, const membership::Datagram& request, double now);
-  void accept_grant(membership::PeerIndex peer, const membership::Datagram& grant, double now);
+  void receive(membership::PeerIndex peer, const membership::Datagram& datagram, double now_ms);
+  void merge_states(membership::PeerIndex peer, const membership::Datagram& datagram, double now_ms);
+  void answer_request(membership::PeerIndex peer, const membership::Datagram& request, double now_ms);
+  void accept_grant(membership::PeerIndex peer, const membership::Datagram& grant, double now_ms);
   void set_members();
-  void tick(double now);
+  void tick(double now_ms);
   void bind_address();
   [[nodiscard]] fleet::SharedLimits fresh_limits() const;
-  void send_gossip(double now);
-  void send_lease_requests(double now);
-  void update_verdicts(double now);
-  void update_members(double now);
-  void log_drops(double now);
-  [[nodiscard]] bool may_send_lease_datagram(double now);
+  void send_gossip(double now_ms);
+  void send_lease_requests(double now_ms);
+  void update_verdicts(double now_ms);
+  void update_members(double now_ms);
+  void log_drops(double now_ms);
+  [[nodiscard]] bool may_send_lease_datagram(double now_ms);
   [[nodiscard]] membership::Datagram new_datagram(membership::DatagramKind kind);
-  void append_limit_figures(std::vector<std::pair<std::string, double>>& figures, double now) const;
+  void append_limit_figures(std::vector<std::pair<std::string, double>>& figures, double now_ms) const;
 
   transport::Loop& loop_;
   transport::Clock clock_;
   fleet::FleetConfig config_;
   proxy::Logger log_;
-  double started_at_;
+  double started_at_ms_;
   std::uint64_t incarnation_;
   std::uint64_t sequence_ = 0;  // of the last datagram
   std::uint64_t config_digest_;
--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -17,29 +17,29 @@
 
 Balancer::Balancer(transport::Loop& loop, const Setup& setup, Logger log)
     : loop_(loop),
-      now_(clock_.now()),
+      now_ms_(clock_.now()),
       log_(std::move(log)),
       proxy_settings_(read_proxy_settings(setup.settings, log_)),
       descriptors_(descriptors_beside_admin(setup.descriptors, setup.mgmt.has_value())),
       buffers_(setup.memory_mb * 1024 * 1024 / 2 / transport::buffer_size),
       pool_(buffers_),
-      policy_(setup.settings, setup.seed, now_),
-      upstreams_(loop, pool_, due_, now_,
+      policy_(setup.settings, setup.seed, now_ms_),
+      upstreams_(loop, pool_, due_, now_ms_,
                  {.dial_timeout_ms = proxy_settings_.dial_timeout_ms,
                   .idle_timeout_ms = proxy_settings_.idle_timeout_ms,
                   .settle_ms = proxy_settings_.settle_ms,
                   .max_connections = divide_descriptors(descriptors_).upstream},
                  log_, [this] { return downstream_.shed(DownstreamConnections::ShedScope::any); }),
-      downstream_(loop, pool_, due_, setup.listen, now_, divide_descriptors(descriptors_).downstream,
+      downstream_(loop, pool_, due_, setup.listen, now_ms_, divide_descriptors(descriptors_).downstream,
                   divide_descriptors(descriptors_).downstream_overflow, tally_,
                   {.shared = setup.shared, .later = setup.later}),
-      discovery_(loop, pool_, due_, now_, setup.discovery, setup.known.seq, setup.seed, log_,
+      discovery_(loop, pool_, due_, now_ms_, setup.discovery, setup.known.seq, setup.seed, log_,
                  watch_terms(setup.settings, log_)),
       endpoints_(proxy_settings_, upstreams_, policy_, log_),
       shutdown_({.longest_client_timeout_ms = proxy_settings_.longest_client_timeout_ms(),
                  .drain_ms = setup.leave_ms}),
       requests_({.settings = proxy_settings_,
-                 .now = now_,
+                 .now_ms = now_ms_,
                  .due_times = due_,
                  .policy = policy_,
                  .upstreams = upstreams_,
@@ -50,10 +50,10 @@
                 log_),
       settings_(setup.settings),
       endpoint_list_received_(!setup.discovery),
-      tick_at_(now_),
-      sweep_at_(now_) {
+      tick_at_ms_(now_ms_),
+      sweep_at_ms_(now_ms_) {
   tally_.request_classes.resize(proxy_settings_.request_classes.size());
-  endpoints_.use_cached(setup.known, now_);
+  endpoints_.use_cached(setup.known, now_ms_);
   discovery_.start();
 }
 
@@ -62,7 +62,7 @@
 void Balancer::run() {
   while (!shutdown_.finished()) {
     loop_.wait(wait_ms());
-    now_ = clock_.now();
+    now_ms_ = clock_.now();
     loop_.dispatch();
     gather_events();
     requests_.carry_out();
@@ -78,7 +78,7 @@
   bool idle = !requests_.has_commands() && upstreams_.events().empty() && downstream_.events().empty() &&
               discovery_.updates().empty();
   if (!idle) return 0;
-  return std::min({due_.next(), tick_at_, shutdown_.next_due_ms()}) - now_;
+  return std::min({due_.next(), tick_at_ms_, shutdown_.next_due_ms()}) - now_ms_;
 }
 
 void Balancer::gather_events() {
@@ -87,24 +87,24 @@
   for (auto& event : std::exchange(upstreams_.events(), {})) requests_.upstream_event(event);
   apply_due_times();
   for (auto& event : std::exchange(downstream_.events(), {})) requests_.downstream_event(event);
-  if (now_ >= tick_at_) tick();
+  if (now_ms_ >= tick_at_ms_) tick();
 }
 
 void Balancer::apply_watch_events() {
   for (auto& update : std::exchange(discovery_.updates(), {})) {
     auto* list = std::get_if<protocol::EndpointList>(&update);
     if (!list) {
-      endpoints_.watch_failed(now_);
+      endpoints_.watch_failed(now_ms_);
       continue;
     }
     endpoint_list_received_ = true;
-    endpoints_.receive(std::move(*list), now_);
+    endpoints_.receive(std::move(*list), now_ms_);
     requests_.endpoints_updated();
   }
 }
 
 void Balancer::apply_due_times() {
-  while (auto key = due_.first(now_)) {
+  while (auto key = due_.first(now_ms_)) {
     switch (transport::kind_of(*key)) {
       case RequestTable::due_kind:
         requests_.decision_due(RequestNumber{transport::number_of(*key)});
@@ -122,16 +122,16 @@
 }
 
 void Balancer::tick() {
-  tick_at_ = std::max(tick_at_, now_ - policy_.tick_interval_ms()) + policy_.tick_interval_ms();
-  auto actions = policy_.tick(now_);
+  tick_at_ms_ = std::max(tick_at_ms_, now_ms_ - policy_.tick_interval_ms()) + policy_.tick_interval_ms();
+  auto actions = policy_.tick(now_ms_);
   // The watch on discovery is kept up all the time, so there is nothing to do when it is asked for.
   for (const auto& line : actions.log_lines) log_(Level::info, line);
   upstreams_.close_expired_connections();
   upstreams_.stream_held_responses();
   downstream_.retry_accept();
   if (on_tick_) on_tick_();
-  if (now_ < sweep_at_) return;
-  sweep_at_ = now_ + sweep_every_ms;
+  if (now_ms_ < sweep_at_ms_) return;
+  sweep_at_ms_ = now_ms_ + sweep_every_ms;
   upstreams_.reclaim_indices([this](EndpointIndex endpoint) { return requests_.has_attempted(endpoint); });
   endpoints_.forget_departed();
   pool_.trim();
@@ -145,16 +145,16 @@
 }
 
 LearnedState Balancer::learned_state() const {
-  return with_server_names(policy_.learned_state(now_), upstreams_.endpoints());
+  return with_server_names(policy_.learned_state(now_ms_), upstreams_.endpoints());
 }
 
 void Balancer::restore_learned_state(const LearnedState& learned_state) {
-  policy_.restore(with_endpoint_indices(learned_state, upstreams_.endpoints()), now_);
+  policy_.restore(with_endpoint_indices(learned_state, upstreams_.endpoints()), now_ms_);
 }
 
 std::vector<std::uint32_t> Balancer::ejected_servers() const {
   std::vector<EndpointIndex> ejected;
-  static_cast<void>(policy_.unavailable_endpoints(now_, &ejected));
+  static_cast<void>(policy_.unavailable_endpoints(now_ms_, &ejected));
   std::vector<std::uint32_t> all;
   for (auto endpoint : ejected) all.push_back(endpoints_.server_id(endpoint));
   return all;
@@ -167,7 +167,7 @@
           .request_classes = std::move(request_classes),
           .attempts = upstreams_.requests_sent(),
           .listed = upstreams_.endpoints().listed_count(),
-          .down = static_cast<std::size_t>(policy_.unavailable_endpoints(now_)),
+          .down = static_cast<std::size_t>(policy_.unavailable_endpoints(now_ms_)),
           .reloads = reloads_,
           .reloads_failed = reloads_failed_};
 }
@@ -182,7 +182,7 @@
   if (setup.discovery)
     endpoints_.begin_anew();
   else
-    endpoints_.replace(setup.known, now_);
+    endpoints_.replace(setup.known, now_ms_);
   requests_.endpoints_updated();
 }
 
@@ -216,17 +216,17 @@
     log_(Level::info, "ending: another process has taken over");
   else
     log_(Level::info, has_served ? "ending: serves on for a while" : "ending: it has not served yet");
-  shutdown_.begin(now_, has_served);
+  shutdown_.begin(now_ms_, has_served);
 }
 
 void Balancer::advance_shutdown() {
-  auto actions = shutdown_.advance(now_, downstream_.size());
+  auto actions = shutdown_.advance(now_ms_, downstream_.size());
   if (actions.close_listener) {
     downstream_.stop_accepting();
     downstream_.drain();
   }
   if (actions.fail_unanswered) requests_.fail_unanswered();
-  shutdown_.connections_closed(now_, downstream_.size());
+  shutdown_.connections_closed(now_ms_, downstream_.size());
 }
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/balancer.hpp
+++ b/src/proxy/balancer.hpp
@@ -86,13 +86,13 @@
   [[nodiscard]] std::vector<std::uint32_t> listed_servers() const { return endpoints_.listed_server_ids(); }
   [[nodiscard]] std::vector<std::uint32_t> ejected_servers() const;
   // Gossip of other balancers.
-  void gossip_received(const GossipContent& gossip) { policy_.gossip_received(gossip, now_); }
+  void gossip_received(const GossipContent& gossip) { policy_.gossip_received(gossip, now_ms_); }
 
   [[nodiscard]] Figures figures() const;
   // Whether discovery lists a server of that name.
   [[nodiscard]] bool is_listed(const std::string& name) const { return endpoints_.is_listed(name); }
   // The servers that operators have out, all of them; it holds from now on whatever is listed.
-  void set_manual_drains(const std::set<std::string>& names) { endpoints_.set_manual_drains(names, now_); }
+  void set_manual_drains(const std::set<std::string>& names) { endpoints_.set_manual_drains(names, now_ms_); }
 
  private:
   [[nodiscard]] double wait_ms();
@@ -104,7 +104,7 @@
 
   transport::Loop& loop_;
   transport::Clock clock_;
-  double now_;  // the turn's one reading, in ms
+  double now_ms_;  // the turn's one reading, in ms
   Logger log_;
   ProxySettings proxy_settings_;
   std::size_t descriptors_, buffers_;  // all that it may have, alone
@@ -121,7 +121,7 @@
 
   Settings settings_;
   bool endpoint_list_received_;
-  double tick_at_, sweep_at_;
+  double tick_at_ms_, sweep_at_ms_;
   std::uint64_t reloads_ = 0, reloads_failed_ = 0;
   std::function<void()> on_tick_;
   RequestFilter* request_filter_ = nullptr;
--- a/src/proxy/discovery/client.cpp
+++ b/src/proxy/discovery/client.cpp
@@ -36,13 +36,13 @@
 }  // namespace
 
 DiscoveryClient::DiscoveryClient(transport::Loop& loop, transport::Pool& pool, DueTimes& due,
-                                 const double& now, std::optional<transport::Address> agent,
+                                 const double& now_ms, std::optional<transport::Address> agent,
                                  std::int64_t last_version, std::uint64_t seed, Logger log,
                                  const WatchTerms& terms)
     : loop_(loop),
       pool_(pool),
       due_(due),
-      now_(now),
+      now_ms_(now_ms),
       agent_(std::move(agent)),
       last_version_(last_version),
       log_(std::move(log)),
@@ -64,7 +64,7 @@
   agent_ = std::move(agent);
   // Its versions need not be those of the one before, nor tell of what left in between.
   call_ = pacing_.pushed() ? Call::complete_list : Call::watch;
-  complete_list_at_ms_ = pacing_.pushed() ? DueTimes::none : now_ + pacing_.complete_list_delay_ms();
+  complete_list_at_ms_ = pacing_.pushed() ? DueTimes::none : now_ms_ + pacing_.complete_list_delay_ms();
   pacing_.answered();
   connect();
 }
@@ -114,8 +114,8 @@
   watch_reader_ = {};
   complete_list_.clear();
   reread_needed_ = false;
-  called_at_ms_ = now_;
-  renew_at_ms_ = now_ + pacing_.silence_limit_ms();
+  called_at_ms_ = now_ms_;
+  renew_at_ms_ = now_ms_ + pacing_.silence_limit_ms();
   std::string target(protocol::names::endpoint_list);
   if (call_ == Call::watch) target.append("?watch=1&after=").append(std::to_string(last_version_));
   return protocol::write_get(stream_->out(), agent_->text(), target);
@@ -141,7 +141,7 @@
 bool DiscoveryClient::body_received(bool head_is_new) {
   if (call_ == Call::complete_list) {
     complete_list_ += response_.extract_body();
-    set_deadline_in(std::min(pacing_.answer_limit_ms(), called_at_ms_ + max_complete_list_ms - now_));
+    set_deadline_in(std::min(pacing_.answer_limit_ms(), called_at_ms_ + max_complete_list_ms - now_ms_));
     if (complete_list_.size() <= max_list_bytes) return true;
     fail("the list is too long");
     return false;
@@ -196,10 +196,10 @@
 void DiscoveryClient::list_received(protocol::EndpointList&& list) {
   for (const auto& wrong : list.skipped) log_(Level::warning, "discovery: skipped: " + wrong);
   pacing_.answered();
-  renew_at_ms_ = now_ + pacing_.silence_limit_ms();
+  renew_at_ms_ = now_ms_ + pacing_.silence_limit_ms();
   // Lower than what was asked for: the agent's versions are not those of the one before.
   bool moved = complete_list_at_ms_ < DueTimes::none;
-  if (call_ == Call::watch && moved && list.seq < last_version_) complete_list_at_ms_ = now_;
+  if (call_ == Call::watch && moved && list.seq < last_version_) complete_list_at_ms_ = now_ms_;
   if (!reread_needed_) {
     if (list.seq != last_version_) rereads_ = 0;
     last_version_ = list.seq;
@@ -219,12 +219,14 @@
 // A watch that is alive ends here for the complete list, or, where lists are pushed, when it told nothing for
 // as long as a silent one is given: it is taken up anew from the last version, as what the agent has binds.
 bool DiscoveryClient::renewal_due() const {
-  return complete_list_due() || (pacing_.pushed() && now_ >= renew_at_ms_);
+  return complete_list_due() || (pacing_.pushed() && now_ms_ >= renew_at_ms_);
 }
 
 // --- Deadlines and ends ----------------------------------------------------------------------------------
 
-void DiscoveryClient::set_deadline_in(double ms) { due_.set(due_key(due_kind, 0), deadline_ms_, now_ + ms); }
+void DiscoveryClient::set_deadline_in(double ms) {
+  due_.set(due_key(due_kind, 0), deadline_ms_, now_ms_ + ms);
+}
 
 void DiscoveryClient::clear_deadline() { due_.set(due_key(due_kind, 0), deadline_ms_, DueTimes::none); }
 
@@ -245,7 +247,7 @@
   // Changes are not held up by a complete list that can't be had for now.
   if (call_ == Call::complete_list && !pacing_.pushed()) {
     call_ = Call::watch;
-    complete_list_at_ms_ = now_ + pacing_.complete_list_delay_ms();
+    complete_list_at_ms_ = now_ms_ + pacing_.complete_list_delay_ms();
   }
   set_deadline_in(pacing_.backoff_ms(retry_after_ms));
   updates_.emplace_back(WatchFailed{});
--- a/src/proxy/discovery/client.hpp
+++ b/src/proxy/discovery/client.hpp
@@ -32,9 +32,9 @@
 
   // `now` is the clock reading of the loop's turn. `agent`: where discovery is called; none: it does nothing.
   // `last_version`: of the list that the process starts with.
-  DiscoveryClient(transport::Loop& loop, transport::Pool& pool, transport::DueTimes& due, const double& now,
-                  std::optional<transport::Address> agent, std::int64_t last_version, std::uint64_t seed,
-                  Logger log, const WatchTerms& terms);
+  DiscoveryClient(transport::Loop& loop, transport::Pool& pool, transport::DueTimes& due,
+                  const double& now_ms, std::optional<transport::Address> agent, std::int64_t last_version,
+                  std::uint64_t seed, Logger log, const WatchTerms& terms);
   ~DiscoveryClient();
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
@@ -68,7 +68,7 @@
   void watch_event(protocol::WatchEvent&& event);
   void list_received(protocol::EndpointList&& list);
   void unreadable(const std::string& reason);
-  [[nodiscard]] bool complete_list_due() const { return now_ >= complete_list_at_ms_; }
+  [[nodiscard]] bool complete_list_due() const { return now_ms_ >= complete_list_at_ms_; }
   [[nodiscard]] bool renewal_due() const;
 
   void set_deadline_in(double ms);
@@ -80,7 +80,7 @@
   transport::Loop& loop_;
   transport::Pool& pool_;
   transport::DueTimes& due_;
-  const double& now_;
+  const double& now_ms_;
   std::optional<transport::Address> agent_;
   std::int64_t last_version_;
   Logger log_;
--- a/src/proxy/downstream/connection.hpp
+++ b/src/proxy/downstream/connection.hpp
@@ -39,7 +39,7 @@
   bool peer_closed = false;
   bool gone = false;                          // client_gone was reported
   bool has_sent_request = false;              // a complete one
-  double due = transport::DueTimes::none;     // of the deadline
+  double due_ms = transport::DueTimes::none;  // of the deadline
   std::optional<ShedPosition> shed_position;  // where it may be shed
 
   // The request that is read or in flight.
@@ -52,7 +52,7 @@
       false;                   // body_received was reported, and request_body_forwarded() has not followed
   double body_due_base = 0;    // when its body is due, before what its bytes are worth
   std::size_t body_bytes = 0;  // as many as have come
-  double paused_at = 0;  // not read since then, as what is held of its body has to go first; 0: not paused
+  double paused_at_ms = 0;  // not read since then, as what is held of its body has to go first; 0: not paused
   int request_class = -1;
   bool counted = false;            // in the figures
   bool counted_in_flight = false;  // and that has come whole
--- a/src/proxy/downstream/connections.cpp
+++ b/src/proxy/downstream/connections.cpp
@@ -10,13 +10,13 @@
 
 DownstreamConnections::DownstreamConnections(transport::Loop& loop, transport::Pool& pool,
                                              transport::DueTimes& due, const transport::Address& listen,
-                                             const double& now, std::size_t most_served,
+                                             const double& now_ms, std::size_t most_served,
                                              std::size_t most_beyond, Tally& tally,
                                              transport::Listener::How how)
     : loop_(loop),
       pool_(pool),
       due_(due),
-      now_(now),
+      now_ms_(now_ms),
       most_served_(most_served),
       most_beyond_(most_beyond),
       tally_(tally),
@@ -68,7 +68,7 @@
       read_request(c);
     else
       read_request_body(c);
-    if (c.due > now_) return;
+    if (c.due_ms > now_ms_) return;
   }
   if (c.state == Connection::State::reading && c.request && c.request->started())
     return respond_and_close(c, 408);
@@ -81,11 +81,11 @@
 
 // The time it has for what comes next.
 void DownstreamConnections::set_deadline(Connection& c, double ms) {
-  due_.set(transport::due_key(due_kind, c.id), c.due, now_ + ms);
+  due_.set(transport::due_key(due_kind, c.id), c.due_ms, now_ms_ + ms);
 }
 
 void DownstreamConnections::clear_deadline(Connection& c) {
-  due_.set(transport::due_key(due_kind, c.id), c.due, transport::DueTimes::none);
+  due_.set(transport::due_key(due_kind, c.id), c.due_ms, transport::DueTimes::none);
 }
 
 void DownstreamConnections::set_request_class(ClientId id, int request_class) {
--- a/src/proxy/downstream/connections.hpp
+++ b/src/proxy/downstream/connections.hpp
@@ -43,7 +43,7 @@
   // are meant to be served at a time; `most_beyond` more are read, so that what comes on them can be
   // rejected.
   DownstreamConnections(transport::Loop& loop, transport::Pool& pool, transport::DueTimes& due,
-                        const transport::Address& listen, const double& now, std::size_t most_served,
+                        const transport::Address& listen, const double& now_ms, std::size_t most_served,
                         std::size_t most_beyond, Tally& tally, transport::Listener::How how);
   ~DownstreamConnections();
   DownstreamConnections(const DownstreamConnections&) = delete;
@@ -147,7 +147,7 @@
   transport::Loop& loop_;
   transport::Pool& pool_;
   transport::DueTimes& due_;
-  const double& now_;
+  const double& now_ms_;
   std::size_t most_served_, most_beyond_;
   Tally& tally_;
   transport::Listener listener_;
--- a/src/proxy/downstream/requests.cpp
+++ b/src/proxy/downstream/requests.cpp
@@ -39,7 +39,8 @@
       if (c.request->fault() != Fault::none)
         return respond_and_close(c, static_cast<int>(c.request->fault()));
       if (!had_head && c.request->head_complete() && !c.request->complete())
-        c.body_due_base = std::max(c.due, std::min(now_ + body_grace_ms, c.due + most_body_grace_ms));
+        c.body_due_base =
+            std::max(c.due_ms, std::min(now_ms_ + body_grace_ms, c.due_ms + most_body_grace_ms));
       if (c.request->complete() || c.request->buffer_full()) return request_received(c);
       if (!fed) return c.stream.again(EPOLLIN);
     }
@@ -63,7 +64,7 @@
   if (c.request->out_of_buffers()) return false;
   if (!c.request->head_complete() || c.body_due_base == 0) return true;
   c.body_bytes += n;
-  set_deadline(c, c.body_due_base + static_cast<double>(c.body_bytes) / least_body_bytes_per_ms - now_);
+  set_deadline(c, c.body_due_base + static_cast<double>(c.body_bytes) / least_body_bytes_per_ms - now_ms_);
   return true;
 }
 
@@ -76,7 +77,7 @@
   for (int i = 0; i < reads_per_turn; ++i) {
     while (!c.stream.bytes().empty()) {
       if (c.request->buffer_full()) {  // until there is room, which is not the client's affair
-        c.paused_at = now_;
+        c.paused_at_ms = now_ms_;
         return set_deadline(c, send_stall_ms);
       }
       bool fed = feed(c);
@@ -108,7 +109,7 @@
   auto& c = *it->second;
   c.body_event_pending = false;
   if (c.state != Connection::State::in_flight || !c.body_incoming) return;
-  if (c.paused_at > 0) c.body_due_base += now_ - std::exchange(c.paused_at, 0);
+  if (c.paused_at_ms > 0) c.body_due_base += now_ms_ - std::exchange(c.paused_at_ms, 0);
   read_request_body(c);
 }
 
--- a/src/proxy/downstream/shedding.cpp
+++ b/src/proxy/downstream/shedding.cpp
@@ -24,7 +24,7 @@
       accept_blocked_ = true;
       // Some of those that have only just connected can be spared by then.
       due_.set(transport::due_key(due_kind, accept_retry_id), accept_retry_due_,
-               now_ + new_connection_grace_ms);
+               now_ms_ + new_connection_grace_ms);
       return;
     }
     bool full = false;
@@ -48,7 +48,7 @@
 
 void DownstreamConnections::offer_to_shed(Connection& c, ShedClass shed_class) {
   keep_from_shedding(c);
-  c.shed_position = ShedPosition{shed_class, now_, c.id};
+  c.shed_position = ShedPosition{shed_class, now_ms_, c.id};
   sheddable_.insert(*c.shed_position);
 }
 
@@ -68,7 +68,7 @@
     if (shed_class == ShedClass::partial_request && scope == ShedScope::idle) break;
     // A flood of connections would push out, in one batch, a client whose request is on its way.
     double grace_ms = shed_grace_ms(shed_class);
-    if (scope != ShedScope::any && now_ - since < grace_ms) {
+    if (scope != ShedScope::any && now_ms_ - since < grace_ms) {
       it = sheddable_.lower_bound(
           ShedPosition{static_cast<ShedClass>(static_cast<int>(shed_class) + 1), 0, 0});
       continue;
--- a/src/proxy/request/forwarder.cpp
+++ b/src/proxy/request/forwarder.cpp
@@ -47,7 +47,7 @@
 
 RequestForwarder::RequestForwarder(const Parts& parts, Logger log)
     : settings_(parts.settings),
-      now_(parts.now),
+      now_ms_(parts.now_ms),
       policy_(parts.policy),
       upstreams_(parts.upstreams),
       downstream_(parts.downstream),
@@ -102,25 +102,26 @@
 
 void RequestForwarder::dispatch(DownstreamEvent& event, const AdmittedRequest& admitted) {
   downstream_.set_request_class(event.client, admitted.request_class);
-  Request request{.request_class = admitted.request_class,
-                  .tenant = admitted.tenant,
-                  .arrived = now_,
-                  .due = admitted.body_incoming ? now_ + most_body_ms : due_for(admitted.budget_ms),
-                  .client_retry = admitted.client_retry,
-                  .work_ms = admitted.work_ms,
-                  .key = admitted.key,
-                  .large_body = admitted.body_incoming,
-                  .body_incoming = admitted.body_incoming};
+  Request request{
+      .request_class = admitted.request_class,
+      .tenant = admitted.tenant,
+      .arrived_ms = now_ms_,
+      .deadline_ms = admitted.body_incoming ? now_ms_ + most_body_ms : due_for(admitted.budget_ms),
+      .client_retry = admitted.client_retry,
+      .work_ms = admitted.work_ms,
+      .key = admitted.key,
+      .large_body = admitted.body_incoming,
+      .body_incoming = admitted.body_incoming};
   RequestNumber number{next_number_++};
   unanswered_ids_.insert(event.message->find(names::request_id));
   in_flight_.emplace(number, InFlightRequest{.client = event.client,
                                              .message = std::move(event.message),
                                              .budget_ms = admitted.budget_ms,
-                                             .due_ms = request.due,
+                                             .due_ms = request.deadline_ms,
                                              .request_class = admitted.request_class,
                                              .body_incoming = admitted.body_incoming});
   unanswered_[event.client] = number;
-  requests_.request_arrived(number, request, now_);
+  requests_.request_arrived(number, request, now_ms_);
   if (request_filter_ && last_rejected_ == number)
     request_filter_->give_back(admitted.tenant, admitted.request_class);
 }
@@ -128,7 +129,7 @@
 // When the final response has to be out. As the process ends, before it does: the policy and the upstream are
 // to know how little time is left, where they were told of more and the request was cut off at the end.
 double RequestForwarder::due_for(double budget_ms) const {
-  return std::min(now_ + budget_ms - delivery_delay_ms, shutdown_.responses_due_ms());
+  return std::min(now_ms_ + budget_ms - delivery_delay_ms, shutdown_.responses_due_ms());
 }
 
 // More of a request's body has come. With its last byte its time begins.
@@ -141,7 +142,7 @@
   if (request.body_incoming && request.message->complete()) {
     request.body_incoming = false;
     request.due_ms = due_for(request.budget_ms);
-    upstreams_.set_limit(id, requests_.body_complete(number, request.due_ms, now_));
+    upstreams_.set_limit(id, requests_.body_complete(number, request.due_ms, now_ms_));
   }
   upstreams_.continue_request(id);
   downstream_.request_body_forwarded(client);
@@ -164,7 +165,7 @@
   unanswered_.erase(it);
   unanswered_ids_.erase(request.message->find(names::request_id));
   log_client_gone(number);
-  requests_.client_left(number, now_);
+  requests_.client_left(number, now_ms_);
   abandon_unsent_attempts(number);
   if (auto left = in_flight_.find(number);
       left != in_flight_.end() && left->second.latest_attempt >= 0 && body_on_its_way)
@@ -178,7 +179,7 @@
          std::string("ending: requests given up: ").append(std::to_string(unanswered_.size())));
   for (auto [client, number] : std::exchange(unanswered_, {})) {
     unanswered_ids_.erase(in_flight_.at(number).message->find(names::request_id));
-    requests_.client_left(number, now_);
+    requests_.client_left(number, now_ms_);
     abandon_unsent_attempts(number);
     downstream_.respond(client, 500, "", "");
   }
@@ -221,7 +222,7 @@
   request.latest_attempt = attempt;
   if (!admission_.classes()[static_cast<std::size_t>(request.request_class)].streamed)
     upstreams_.set_response_due(event.attempt, request.due_ms);
-  requests_.response_started(number, attempt, now_);
+  requests_.response_started(number, attempt, now_ms_);
   abandon_unsent_attempts(number);  // hedged requests that wait; this one is complete at its server
   commands_.emplace_back(BeginResponse{.client = *client, .response = std::move(event.response)});
 }
@@ -238,7 +239,7 @@
 void RequestForwarder::attempt_ended(AttemptEvent& event) {
   auto report = load_report(event);
   if (event.attempt & probe_bit)
-    return policy_.probe_ended(event.endpoint, event.outcome, now_ - event.started_at_ms, report, now_);
+    return policy_.probe_ended(event.endpoint, event.outcome, now_ms_ - event.started_at_ms, report, now_ms_);
   bool succeeded = event.outcome == Outcome::succeeded;
   if (request_filter_ && succeeded && event.endpoint >= 0)
     request_filter_->served(endpoints_.server_id(event.endpoint));
@@ -269,7 +270,7 @@
                            .outcome = event.outcome,
                            .request_closed = !open || streaming || succeeded,
                            .load_report = report},
-                          now_);
+                          now_ms_);
 }
 
 // --- Actions of the policy --------------------------------------------------------------------------------
@@ -332,8 +333,10 @@
   auto id = attempt_id(command.request, command.attempt);
   // Its client has left, or its response has come, behind this command in the same turn.
   if (!requests_.is_open(command.request)) {
-    upstreams_.events().push_back(
-        {.attempt = id, .endpoint = command.endpoint, .outcome = Outcome::superseded, .started_at_ms = now_});
+    upstreams_.events().push_back({.attempt = id,
+                                   .endpoint = command.endpoint,
+                                   .outcome = Outcome::superseded,
+                                   .started_at_ms = now_ms_});
     return;
   }
   auto& request = in_flight_.at(command.request);
--- a/src/proxy/request/forwarder.hpp
+++ b/src/proxy/request/forwarder.hpp
@@ -31,7 +31,7 @@
   // What it works with; all of it outlives the forwarder.
   struct Parts {
     const ProxySettings& settings;
-    const double& now;  // the turn's reading of the clock, in ms
+    const double& now_ms;  // the turn's reading of the clock, in ms
     transport::DueTimes& due_times;
     Policy& policy;
     Upstreams& upstreams;
@@ -51,7 +51,7 @@
   void upstream_event(AttemptEvent& event);
   void downstream_event(DownstreamEvent& event);
   // The time has come at which the policy wanted to be asked again about a request.
-  void decision_due(RequestNumber number) { requests_.decision_due(number, now_); }
+  void decision_due(RequestNumber number) { requests_.decision_due(number, now_ms_); }
   // The endpoint list has changed: what waits to be sent to a server may no longer be allowed there.
   void endpoints_updated() { requests_.endpoints_updated(); }
   // Carries out what the policy has decided since the last call.
@@ -160,7 +160,7 @@
   void abandon_unsent_attempts(RequestNumber number);
 
   const ProxySettings& settings_;
-  const double& now_;
+  const double& now_ms_;
   Policy& policy_;
   Upstreams& upstreams_;
   DownstreamConnections& downstream_;
--- a/src/proxy/request/log.cpp
+++ b/src/proxy/request/log.cpp
@@ -44,7 +44,7 @@
                                           const AttemptEvent& event) const {
   if (!log_.wants(Level::debug)) return;
   const auto& server = upstreams_.endpoints().name(event.endpoint);
-  double took_ms = now_ - event.started_at_ms;
+  double took_ms = now_ms_ - event.started_at_ms;
   log_(Level::debug,
        std::string("attempt ").append(std::to_string(attempt)) + " of request " +
            std::to_string(to_integer(number)) + " to " + server + ": " +
@@ -58,8 +58,8 @@
 
 void RequestForwarder::log_client_gone(RequestNumber number) const {
   if (!log_.wants(Level::debug)) return;
-  auto describe = [this](EndpointIndex endpoint, double sent_at) {
-    return " " + upstreams_.endpoints().name(endpoint) + " for " + rounded_ms(now_ - sent_at);
+  auto describe = [this](EndpointIndex endpoint, double sent_at_ms) {
+    return " " + upstreams_.endpoints().name(endpoint) + " for " + rounded_ms(now_ms_ - sent_at_ms);
   };
   log_(Level::debug,
        std::string("request ").append(std::to_string(to_integer(number))) + ": its client has gone; out at" +
--- a/src/proxy/request/table.cpp
+++ b/src/proxy/request/table.cpp
@@ -18,7 +18,7 @@
   }
 }
 
-void RequestTable::carry_out(Entries::iterator it, const Decision& decision, double now) {
+void RequestTable::carry_out(Entries::iterator it, const Decision& decision, double now_ms) {
   const RequestNumber number = it->first;
   auto& entry = it->second;
   entry.state = next_state(entry, decision);
@@ -27,12 +27,12 @@
   for (int i = 0; i < decision.probe_count; ++i) actions_.probe(decision.probes[static_cast<std::size_t>(i)]);
   switch (decision.kind) {
     case Decision::attempt: {
-      auto timeout = schedule_decision(number, entry, now);
+      auto timeout = schedule_decision(number, entry, now_ms);
       actions_.start_attempt(number, entry.request.attempt_count - 1, decision.endpoint, timeout);
       break;
     }
     case Decision::wait:
-      schedule_decision(number, entry, now);
+      schedule_decision(number, entry, now_ms);
       break;
     case Decision::reject:
       actions_.reject(number, decision.retry_after_ms, decision.reason);
@@ -50,33 +50,33 @@
   actions_.released(number);
 }
 
-void RequestTable::set_due(RequestNumber number, Entry& entry, double at) {
-  due_.set(transport::due_key(due_kind, to_integer(number)), entry.due, at);
+void RequestTable::set_due(RequestNumber number, Entry& entry, double at_ms) {
+  due_.set(transport::due_key(due_kind, to_integer(number)), entry.due_ms, at_ms);
 }
 
-AttemptTimeout RequestTable::schedule_decision(RequestNumber number, Entry& entry, double now) {
-  auto timeout = policy_.attempt_timeout(entry.request, now);
-  set_due(number, entry, now + timeout.ask_again_ms);
+AttemptTimeout RequestTable::schedule_decision(RequestNumber number, Entry& entry, double now_ms) {
+  auto timeout = policy_.attempt_timeout(entry.request, now_ms);
+  set_due(number, entry, now_ms + timeout.ask_again_ms);
   return timeout;
 }
 
-void RequestTable::request_arrived(RequestNumber number, const Request& request, double now) {
+void RequestTable::request_arrived(RequestNumber number, const Request& request, double now_ms) {
   auto [it, inserted] = requests_.try_emplace(number, Entry{.request = request});
-  if (inserted) carry_out(it, policy_.decide(it->second.request, now), now);
+  if (inserted) carry_out(it, policy_.decide(it->second.request, now_ms), now_ms);
 }
 
-void RequestTable::attempt_ended(RequestNumber number, const AttemptResult& result, double now) {
+void RequestTable::attempt_ended(RequestNumber number, const AttemptResult& result, double now_ms) {
   auto it = requests_.find(number);
   if (it == requests_.end()) return;
-  carry_out(it, policy_.attempt_ended(it->second.request, result, now), now);
+  carry_out(it, policy_.attempt_ended(it->second.request, result, now_ms), now_ms);
 }
 
-void RequestTable::response_started(RequestNumber number, int attempt, double now) {
+void RequestTable::response_started(RequestNumber number, int attempt, double now_ms) {
   auto it = requests_.find(number);
   if (it == requests_.end()) return;
-  auto decision = policy_.response_started(it->second.request, attempt, now);
+  auto decision = policy_.response_started(it->second.request, attempt, now_ms);
   it->second.state = std::max(it->second.state, RequestState::responding);
-  carry_out(it, decision, now);
+  carry_out(it, decision, now_ms);
 }
 
 void RequestTable::endpoints_updated() {
@@ -87,30 +87,30 @@
         actions_.withdraw_attempt(number, attempt);
 }
 
-double RequestTable::body_complete(RequestNumber number, double due, double now) {
+double RequestTable::body_complete(RequestNumber number, double deadline_ms, double now_ms) {
   auto it = requests_.find(number);
   if (it == requests_.end()) return 0;
   auto& entry = it->second;
-  policy_.body_complete(entry.request, due, now);
-  if (entry.state == RequestState::done) return policy_.attempt_timeout(entry.request, now).limit_ms;
-  return schedule_decision(number, entry, now).limit_ms;
+  policy_.body_complete(entry.request, deadline_ms, now_ms);
+  if (entry.state == RequestState::done) return policy_.attempt_timeout(entry.request, now_ms).limit_ms;
+  return schedule_decision(number, entry, now_ms).limit_ms;
 }
 
 void RequestTable::body_forwarded(RequestNumber number) {
   if (auto it = requests_.find(number); it != requests_.end()) it->second.request.body_forwarded = true;
 }
 
-void RequestTable::client_left(RequestNumber number, double now) {
+void RequestTable::client_left(RequestNumber number, double now_ms) {
   auto it = requests_.find(number);
   if (it == requests_.end() || it->second.state == RequestState::done) return;
-  carry_out(it, policy_.client_left(it->second.request, now), now);
+  carry_out(it, policy_.client_left(it->second.request, now_ms), now_ms);
 }
 
-void RequestTable::decision_due(RequestNumber number, double now) {
+void RequestTable::decision_due(RequestNumber number, double now_ms) {
   auto it = requests_.find(number);
   if (it == requests_.end()) return;
   set_due(number, it->second, DueTimes::none);
-  carry_out(it, policy_.decide(it->second.request, now), now);
+  carry_out(it, policy_.decide(it->second.request, now_ms), now_ms);
 }
 
 bool RequestTable::has_attempted(EndpointIndex endpoint) const {
--- a/src/proxy/request/table.hpp
+++ b/src/proxy/request/table.hpp
@@ -65,21 +65,21 @@
   // Events. Those of a request that is not in the table change nothing.
 
   // A new request; one whose number is in the table already is left as it is.
-  void request_arrived(RequestNumber number, const Request& request, double now);
-  void attempt_ended(RequestNumber number, const AttemptResult& result, double now);
+  void request_arrived(RequestNumber number, const Request& request, double now_ms);
+  void attempt_ended(RequestNumber number, const AttemptResult& result, double now_ms);
   // The response of that attempt streams to the client: it is the request's from now on.
-  void response_started(RequestNumber number, int attempt, double now);
+  void response_started(RequestNumber number, int attempt, double now_ms);
   // The client has gone.
-  void client_left(RequestNumber number, double now);
+  void client_left(RequestNumber number, double now_ms);
   // All of the body is here, of a request that arrived before it was. `due`: when its client stops waiting.
   // Returns how many ms its attempt may take from now on.
-  double body_complete(RequestNumber number, double due, double now);
+  double body_complete(RequestNumber number, double deadline_ms, double now_ms);
   // The endpoint list has changed: withdraws what must not be sent there any more.
   void endpoints_updated();
   // Part of its body has been passed on, so that it can't be sent once more.
   void body_forwarded(RequestNumber number);
   // A due time of `due_kind` has been reached.
-  void decision_due(RequestNumber number, double now);
+  void decision_due(RequestNumber number, double now_ms);
 
   // Whether this request still waits for its final response.
   [[nodiscard]] bool is_open(RequestNumber number) const;
@@ -94,7 +94,7 @@
     std::string all;
     if (auto it = requests_.find(number); it != requests_.end())
       for (const auto& attempt : it->second.request.sent_attempts())
-        if (attempt.in_flight) all += describe(attempt.endpoint, attempt.sent_at);
+        if (attempt.in_flight) all += describe(attempt.endpoint, attempt.sent_at_ms);
     return all;
   }
 
@@ -102,15 +102,15 @@
   struct Entry {
     Request request;
     RequestState state = RequestState::received;
-    double due = transport::DueTimes::none;  // of the next decision
+    double due_ms = transport::DueTimes::none;  // of the next decision
   };
   using Entries = std::unordered_map<RequestNumber, Entry>;
 
   [[nodiscard]] static RequestState next_state(const Entry& entry, const Decision& decision);
-  void carry_out(Entries::iterator it, const Decision& decision, double now);
-  void set_due(RequestNumber number, Entry& entry, double at);
+  void carry_out(Entries::iterator it, const Decision& decision, double now_ms);
+  void set_due(RequestNumber number, Entry& entry, double at_ms);
   // Asks the policy how long the newest attempt may take, and when the next decision is due.
-  AttemptTimeout schedule_decision(RequestNumber number, Entry& entry, double now);
+  AttemptTimeout schedule_decision(RequestNumber number, Entry& entry, double now_ms);
 
   Policy& policy_;
   transport::DueTimes& due_;
--- a/src/simulator_adapter/wire_messages.cpp
+++ b/src/simulator_adapter/wire_messages.cpp
@@ -83,8 +83,8 @@
   return {.number = proxy::RequestNumber{record.get<std::uint64_t>(1)},
           .request = {.request_class = record.get<std::uint8_t>(9),
                       .tenant = record.get<std::uint16_t>(35),
-                      .arrived = now_ms,
-                      .due = record.get<double>(10),
+                      .arrived_ms = now_ms,
+                      .deadline_ms = record.get<double>(10),
                       .client_retry = (attributes & is_client_retry) != 0,
                       .work_ms = work_ms,
                       .key = record.get<std::uint64_t>(27)}};
--- a/src/transport/due_times.hpp
+++ b/src/transport/due_times.hpp
@@ -25,10 +25,10 @@
 
   // Makes `key` due at `at`. `kept` is the caller's record of when it was due, `none` if it was not; it is
   // updated, and must be what the last call for this key left there.
-  void set(DueKey key, double& kept, double at) {
+  void set(DueKey key, double& kept, double at_ms) {
     if (kept != none) due_.erase({kept, key});
-    kept = at;
-    if (at != none) due_.insert({at, key});
+    kept = at_ms;
+    if (at_ms != none) due_.insert({at_ms, key});
   }
   // The earliest time, `none` where nothing is due.
   [[nodiscard]] double next() const {
@@ -36,8 +36,8 @@
     return due_.begin()->first;
   }
   // The first key that is due at `now`; it stays until it is set to another time.
-  [[nodiscard]] std::optional<DueKey> first(double now) const {
-    if (due_.empty() || due_.begin()->first > now) return {};
+  [[nodiscard]] std::optional<DueKey> first(double now_ms) const {
+    if (due_.empty() || due_.begin()->first > now_ms) return {};
     return due_.begin()->second;
   }
 
--- a/tests/e2e/body_streaming_test.cpp
+++ b/tests/e2e/body_streaming_test.cpp
@@ -236,13 +236,14 @@
   for (bool large : {false, true}) {
     PolicyHarness w({}, 4, 3);
     for (int i = 0; i < 60; ++i) w.end(w.submit(0, 5000), 0, Outcome::succeeded);
-    Request v{.request_class = 0, .arrived = w.now, .due = w.now + 5000, .large_body = large};
-    ASSERT_EQ(w.policy.decide(v, w.now).kind, Decision::attempt);
-    EXPECT_EQ(w.policy.attempt_timeout(v, w.now).ask_again_ms == never, large);
+    Request v{
+        .request_class = 0, .arrived_ms = w.now_ms, .deadline_ms = w.now_ms + 5000, .large_body = large};
+    ASSERT_EQ(w.policy.decide(v, w.now_ms).kind, Decision::attempt);
+    EXPECT_EQ(w.policy.attempt_timeout(v, w.now_ms).ask_again_ms == never, large);
     for (int i = 0; i < 20; ++i) {  // its server falls silent while others respond
       w.pass(100);
       for (int n = 0; n < 4; ++n) w.end(w.submit(0, 5000), 0, Outcome::succeeded);
-      w.policy.decide(v, w.now);
+      w.policy.decide(v, w.now_ms);
     }
     EXPECT_EQ(v.attempt_count, large ? 1 : 2);
   }
--- a/tests/fleet/config_agreement_test.cpp
+++ b/tests/fleet/config_agreement_test.cpp
@@ -19,14 +19,14 @@
   return members;
 }
 
-void receive(membership::MemberTable& members, const std::string& name, std::uint64_t digest, double now) {
-  auto heartbeat = static_cast<std::uint64_t>(now) + 1;
+void receive(membership::MemberTable& members, const std::string& name, std::uint64_t digest, double now_ms) {
+  auto heartbeat = static_cast<std::uint64_t>(now_ms) + 1;
   members.merge({.name = name,
                  .incarnation = 1,
                  .heartbeat = heartbeat,
                  .config_digest = digest,
                  .lendable = {{.limit = 0, .rate = 4}}},
-                now);
+                now_ms);
 }
 
 TEST(ConfigAgreements, AllAgreeOnceEachMemberWasSeenWithTheSameDigest) {
@@ -44,9 +44,9 @@
   auto members = three_members();
   receive(members, "b1", own_digest, 0);
   receive(members, "b2", other_digest, 0);
-  for (double now : {0.0, 1500.0, 4999.0}) {
-    EXPECT_FALSE(compare_configs(members, own_digest, now).all_agree) << now;
-    EXPECT_TRUE(compare_configs(members, own_digest, now).live_member_differs) << now;
+  for (double now_ms : {0.0, 1500.0, 4999.0}) {
+    EXPECT_FALSE(compare_configs(members, own_digest, now_ms).all_agree) << now_ms;
+    EXPECT_TRUE(compare_configs(members, own_digest, now_ms).live_member_differs) << now_ms;
   }
   EXPECT_FALSE(compare_configs(members, own_digest, 5000).all_agree);
   EXPECT_FALSE(compare_configs(members, own_digest, 5000).live_member_differs);
@@ -66,14 +66,14 @@
 
 TEST(DatagramBudgets, OneSecondsWorthAtOnceAndThenAtTheRate) {
   DatagramBudget budget;
-  double now = 1796000000000;
+  double now_ms = 1796000000000;
   int sent = 0;
-  while (budget.try_take(20, now)) ++sent;
+  while (budget.try_take(20, now_ms)) ++sent;
   EXPECT_EQ(sent, 20);
   EXPECT_EQ(budget.refused(), 1U);
-  EXPECT_FALSE(budget.try_take(20, now + 49));
-  EXPECT_TRUE(budget.try_take(20, now + 51));
-  EXPECT_FALSE(budget.try_take(20, now + 51));
+  EXPECT_FALSE(budget.try_take(20, now_ms + 49));
+  EXPECT_TRUE(budget.try_take(20, now_ms + 51));
+  EXPECT_FALSE(budget.try_take(20, now_ms + 51));
   EXPECT_EQ(budget.refused(), 3U);
 }
 
--- a/tests/fleet/fleet_limits_test.cpp
+++ b/tests/fleet/fleet_limits_test.cpp
@@ -32,7 +32,7 @@
   bool grant = false;
   int from = 0, to = 0;
   std::uint64_t from_incarnation = 0, to_incarnation = 0;
-  double requested_at = 0;  // by the requester's clock
+  double requested_at_ms = 0;  // by the requester's clock
   std::vector<Quota> quotas;
 };
 
@@ -58,7 +58,7 @@
   }
   SharedLimits& of(int i) { return at[static_cast<std::size_t>(i)].front(); }
   // The drift of two clocks together stays below what a lender allows for.
-  [[nodiscard]] double clock(int i) const { return 1e6 * (i + 1) + now * (1 + 0.004 * (i - 1)); }
+  [[nodiscard]] double clock(int i) const { return 1e6 * (i + 1) + now_ms * (1 + 0.004 * (i - 1)); }
   void request(int i) {
     for (int k = 0; k < 8; ++k) of(i).quota(0).record_demand(clock(i));
     for (const auto& request : of(i).lease_requests(clock(i)))
@@ -66,7 +66,7 @@
             .from = i,
             .to = index(request.lender),
             .from_incarnation = incarnations[static_cast<std::size_t>(i)],
-            .requested_at = clock(i),
+            .requested_at_ms = clock(i),
             .quotas = request.quotas});
   }
   void send(Message m) {
@@ -84,14 +84,14 @@
               .from = m.to,
               .to = m.from,
               .to_incarnation = m.from_incarnation,
-              .requested_at = m.requested_at,
+              .requested_at_ms = m.requested_at_ms,
               .quotas = granted});
     } else if (m.to_incarnation == incarnations[static_cast<std::size_t>(m.to)]) {
-      to.accept_grant(peer(m.from), m.requested_at, m.quotas, clock(m.to));
+      to.accept_grant(peer(m.from), m.requested_at_ms, m.quotas, clock(m.to));
     }
   }
   void pass(double ms) {
-    now += ms;
+    now_ms += ms;
     for (int i = 0; i < count(); ++i) of(i).update_agreement(all_agree, clock(i));
   }
   void take(int i) {
@@ -99,8 +99,8 @@
   }
   // Over any window: what a bucket of the whole fleet would have let through.
   void admit() {
-    bucket = std::min(burst, bucket + rate * 1.005 * (now - bucket_at) / 1000);
-    bucket_at = now;
+    bucket = std::min(burst, bucket + rate * 1.005 * (now_ms - bucket_at_ms) / 1000);
+    bucket_at_ms = now_ms;
     bucket -= 1;
     ++admitted;
   }
@@ -120,7 +120,7 @@
   std::vector<std::vector<SharedLimits>> at;
   std::vector<std::uint64_t> incarnations;
   std::vector<Message> sent;
-  double now = 0, bucket = burst, bucket_at = 0;
+  double now_ms = 0, bucket = burst, bucket_at_ms = 0;
   int admitted = 0;
 };
 
@@ -220,7 +220,7 @@
   w.deliver(0);
   ASSERT_EQ(w.sent.size(), 3u);
   auto late = w;
-  late.now += 1010;  // no one acts meanwhile: all are paused
+  late.now_ms += 1010;  // no one acts meanwhile: all are paused
   late.deliver(2);
   EXPECT_EQ(late.of(0).quota(0).borrowed(late.clock(0)), 0);
   w.start(0);
@@ -309,13 +309,13 @@
   SharedLimits l(terms(1, 100, 10), 1, 1, 0);
   l.address_acquired(0);
   l.update_agreement(all_agree, 1100);
-  double now = 5000;
-  while (l.admit(0, 0, now) == 0) {
+  double now_ms = 5000;
+  while (l.admit(0, 0, now_ms) == 0) {
   }
   std::vector<double> retry_at;
-  for (int k = 0; k < 20; ++k) retry_at.push_back(now + l.admit(0, 0, now));
+  for (int k = 0; k < 20; ++k) retry_at.push_back(now_ms + l.admit(0, 0, now_ms));
   for (double at : retry_at) EXPECT_EQ(l.admit(0, 0, at + 1), 0) << at;
-  for (int k = 0; k < 2000; ++k) EXPECT_LE(l.admit(0, 0, now), LimitQuota::max_retry_after_ms);
+  for (int k = 0; k < 2000; ++k) EXPECT_LE(l.admit(0, 0, now_ms), LimitQuota::max_retry_after_ms);
 }
 
 // Simulated time, messages that take 1 ms: how much of the limit is admitted, by demand over instances.
--- a/tests/fleet/fleet_verdicts_test.cpp
+++ b/tests/fleet/fleet_verdicts_test.cpp
@@ -105,10 +105,10 @@
     for (auto& v : fleet) v.merge(all[who], said, fleet[who].unhealthy_share(at), at);
   };
   for (std::size_t who : {0u, 1u, 2u}) met(who, 1000);
-  auto free = [&](double now, const std::vector<std::string>& alive) {
+  auto free = [&](double now_ms, const std::vector<std::string>& alive) {
     std::vector<std::size_t> who;
     for (std::size_t i = 0; i < fleet.size(); ++i)
-      if (fleet[i].ejected(ten, alive, now).empty()) who.push_back(i);
+      if (fleet[i].ejected(ten, alive, now_ms).empty()) who.push_back(i);
     return who;
   };
   EXPECT_TRUE(free(1900, all).empty());
@@ -159,17 +159,17 @@
     again.insert(again.end(), sent.begin(), sent.end());
     std::shuffle(again.begin(), again.end(), rng);
     for (const auto& s : again) two.merge(s.from, s.observations, 0.1, s.at);
-    double now = 15000;
+    double now_ms = 15000;
     ASSERT_EQ(one.broken_invariant(), "");
     ASSERT_EQ(two.broken_invariant(), "");
-    auto held = one.ejected(ten, all, now);
-    ASSERT_EQ(held, two.ejected(ten, all, now)) << seed;
+    auto held = one.ejected(ten, all, now_ms);
+    ASSERT_EQ(held, two.ejected(ten, all, now_ms)) << seed;
     ASSERT_LE(held.size(), 3u);
     for (auto server : held) {
       std::vector<std::string> voices;
       for (const auto& s : sent)
         for (const auto& x : s.observations)
-          if (x.server == server && x.failing && s.at - x.age_ms >= now - OutlierVerdicts::verdict_ms)
+          if (x.server == server && x.failing && s.at - x.age_ms >= now_ms - OutlierVerdicts::verdict_ms)
             voices.push_back(s.from);
       std::sort(voices.begin(), voices.end());
       voices.erase(std::unique(voices.begin(), voices.end()), voices.end());
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -53,8 +53,8 @@
   auto decoded = hot_restart::decode_snapshot(text, 3000, 5000);
   ASSERT_TRUE(std::holds_alternative<LearnedState>(decoded));
   EXPECT_EQ(std::get<LearnedState>(decoded), learned);
-  auto error_at = [&](std::string_view some, double now) {
-    auto result = hot_restart::decode_snapshot(some, now, 5000);
+  auto error_at = [&](std::string_view some, double now_ms) {
+    auto result = hot_restart::decode_snapshot(some, now_ms, 5000);
     const auto* error = std::get_if<hot_restart::TextError>(&result);
     return error ? std::optional(error->kind) : std::nullopt;
   };
@@ -72,8 +72,8 @@
     if (w.sends[2] == silent) w.end(id, 0, Outcome::succeeded);
   }
   ASSERT_GT(w.sends[2], 0);
-  EXPECT_GT(w.policy.learned_state(w.now)["bench@2"], w.now);
-  EXPECT_FALSE(w.policy.learned_state(w.now).contains("bench@1"));
+  EXPECT_GT(w.policy.learned_state(w.now_ms)["bench@2"], w.now_ms);
+  EXPECT_FALSE(w.policy.learned_state(w.now_ms).contains("bench@1"));
 }
 
 TEST(LearnedState, RestoresBaselineLatencyAndEjections) {
@@ -83,14 +83,14 @@
     w.pass(40);
     w.end(id, 0, Outcome::succeeded);
   }
-  auto learned = w.policy.learned_state(w.now);
+  auto learned = w.policy.learned_state(w.now_ms);
   ASSERT_GT(learned["calm"], 0);
-  learned["bench@2"] = w.now + 5000;
+  learned["bench@2"] = w.now_ms + 5000;
   PolicyHarness next({}, 4, 4);
-  next.now = w.now;
-  next.policy.restore(learned, next.now);
-  EXPECT_EQ(next.policy.learned_state(next.now)["calm"], learned["calm"]);
-  EXPECT_EQ(next.policy.unavailable_endpoints(next.now), 1);
+  next.now_ms = w.now_ms;
+  next.policy.restore(learned, next.now_ms);
+  EXPECT_EQ(next.policy.learned_state(next.now_ms)["calm"], learned["calm"]);
+  EXPECT_EQ(next.policy.unavailable_endpoints(next.now_ms), 1);
   for (int i = 0; i < 12; ++i) next.submit(1, 5000);
   EXPECT_EQ(next.sends[2], 0);
 }
--- a/tests/hot_restart/takeover_test.cpp
+++ b/tests/hot_restart/takeover_test.cpp
@@ -84,11 +84,11 @@
   for (unsigned seed = 0; seed < 20000 && !testing::Test::HasFailure(); ++seed) {
     std::minstd_rand rng(seed + 1);
     PeerProcesses peers{.older = static_cast<int>(rng() % 3)};
-    double now = 1000;
-    Takeover takeover(peers, now);
+    double now_ms = 1000;
+    Takeover takeover(peers, now_ms);
     History history;
     for (int step = 0; step < 40; ++step) {
-      now += static_cast<double>(rng() % 400);
+      now_ms += static_cast<double>(rng() % 400);
       if (rng() % 4 == 0) peers.older = static_cast<int>(rng() % 3);
       if (rng() % 4 == 0) peers.newer = static_cast<int>(rng() % 3);
       peers.newer_serves = peers.newer > 0 && rng() % 2 == 1;
@@ -97,7 +97,7 @@
         history.ended_unserved = history.ended_unserved || history.listened == 0;
         history.ended = true;
       }
-      check(takeover.update(peers, rng() % 2 == 0, now), peers, history);
+      check(takeover.update(peers, rng() % 2 == 0, now_ms), peers, history);
       EXPECT_EQ(takeover.broken_invariant(), "") << "seed " << seed << ", step " << step;
     }
   }
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -225,7 +225,7 @@
     for (int i = 0; i < n; ++i) all.push_back(table_of(n, i));
   }
   void round(int silent = -1) {
-    now += 200;
+    now_ms += 200;
     for (std::size_t i = 0; i < all.size(); ++i)
       if (static_cast<int>(i) != silent) gossip(i);
     for (const auto& table : all) ASSERT_EQ(table.broken_invariant(), "");
@@ -237,7 +237,7 @@
                         .incarnation = 1796000000000,
                         .sequence = ++sequence,
                         .config_digest = 5,
-                        .members = all[i].states_to_gossip(own, now),
+                        .members = all[i].states_to_gossip(own, now_ms),
                         .quotas = {}};
       auto encoded = encode_datagram(datagram);
       all[i].gossip_sent(encoded.member_count);
@@ -245,11 +245,11 @@
       size += encoded.bytes.size();
       if (std::uniform_real_distribution<>()(rng) < lost) continue;
       auto& peer = all[static_cast<std::size_t>(std::stoi(all[i].name(to).substr(1)))];
-      for (const auto& state : decoded(encoded.bytes).members) peer.merge(state, now);
+      for (const auto& state : decoded(encoded.bytes).members) peer.merge(state, now_ms);
     }
   }
   std::vector<MemberTable> all;
-  double lost, now = 0;
+  double lost, now_ms = 0;
   std::uint64_t sequence = 0, datagrams = 0;
   std::size_t size = 0;
   std::mt19937 rng{5};
@@ -268,8 +268,8 @@
       for (auto& one : r.all)
         for (auto peer : one.members()) {
           ++pairs;
-          unseen += one.status(peer, r.now) != MemberStatus::alive ? 1 : 0;
-          oldest = std::max(oldest, one.age_ms(peer, r.now));
+          unseen += one.status(peer, r.now_ms) != MemberStatus::alive ? 1 : 0;
+          oldest = std::max(oldest, one.age_ms(peer, r.now_ms));
         }
     }
     double seconds = 0.6 * n;
@@ -291,15 +291,15 @@
   for (int k = 0; k < 27; ++k) r.round(7);
   for (std::size_t i = 0; i < r.all.size(); ++i)
     if (i != 7) {
-      EXPECT_EQ(r.all[i].status(r.all[i].find("b7").value(), r.now), MemberStatus::gone);
-      EXPECT_EQ(r.all[i].alive_count(r.now), 28);
+      EXPECT_EQ(r.all[i].status(r.all[i].find("b7").value(), r.now_ms), MemberStatus::gone);
+      EXPECT_EQ(r.all[i].alive_count(r.now_ms), 28);
     }
   // Awake again it goes on where it was.
   r.round();
   for (int k = 0; k < 4; ++k) r.round();
   for (std::size_t i = 0; i < r.all.size(); ++i)
     if (i != 7) {
-      EXPECT_EQ(r.all[i].status(r.all[i].find("b7").value(), r.now), MemberStatus::alive);
+      EXPECT_EQ(r.all[i].status(r.all[i].find("b7").value(), r.now_ms), MemberStatus::alive);
     }
 }
 
