--- a/tests/policy/class_mix.hpp
+++ b/tests/policy/class_mix.hpp
@@ -107,7 +107,7 @@
     while (!events_.empty() && events_.top().at < end) {
       Event e = events_.top();
       events_.pop();
-      now_ = e.at;
+      now_ms_ = e.at;
       step(e);
     }
     for (std::size_t i = 0; i < mix_.classes.size(); ++i) {
@@ -143,8 +143,8 @@
   };
 
   double uniform() { return static_cast<double>(rng_()) / 4294967296.0; }
-  double gap(int i, double now) {
-    bool surged = mix_.surge > 0 && now > start + mix_.seconds * 2000 / 3;
+  double gap(int i, double now_ms) {
+    bool surged = mix_.surge > 0 && now_ms > start + mix_.seconds * 2000 / 3;
     double rate = parts_[i] * (surged ? mix_.surge / mix_.load : 1);
     return -std::log(1 - uniform()) / rate;
   }
@@ -152,8 +152,8 @@
     events_.push({.kind = kind, .at = at, .order = ++order_, .who = who, .number = number});
   }
   [[nodiscard]] bool counts(const Request& v) const {
-    return v.arrived >= start + mix_.counted_from_s * 1000 &&
-           v.arrived < start + mix_.seconds * 1000 - longest();
+    return v.arrived_ms >= start + mix_.counted_from_s * 1000 &&
+           v.arrived_ms < start + mix_.seconds * 1000 - longest();
   }
   [[nodiscard]] double longest() const {
     double most = 0;
@@ -164,13 +164,13 @@
   void step(const Event& e) {
     switch (e.kind) {
       case Event::tick:
-        static_cast<void>(policies_[e.who]->tick(now_));
-        return add(now_ + policies_[e.who]->tick_interval_ms(), Event::tick, e.who);
+        static_cast<void>(policies_[e.who]->tick(now_ms_));
+        return add(now_ms_ + policies_[e.who]->tick_interval_ms(), Event::tick, e.who);
       case Event::comes:
-        add(now_ + gap(e.who, now_), Event::comes, e.who);
+        add(now_ms_ + gap(e.who, now_ms_), Event::comes, e.who);
         return comes(e.who);
       case Event::asks:
-        if (!held_[e.who].v.answered) carry_out(e.who, policy(e.who).decide(held_[e.who].v, now_));
+        if (!held_[e.who].v.answered) carry_out(e.who, policy(e.who).decide(held_[e.who].v, now_ms_));
         return;
       case Event::limit:
         return ended(e.who, e.number, Outcome::timeout);
@@ -194,10 +194,10 @@
                      .work = c.work_ms * std::exp(c.spread * normal(rng_) - c.spread * c.spread / 2)});
     auto& v = held_.back().v;
     v.request_class = static_cast<int>(i);
-    v.arrived = now_;
-    v.due = now_ + c.timeout_ms;
+    v.arrived_ms = now_ms_;
+    v.deadline_ms = now_ms_ + c.timeout_ms;
     if (counts(v)) ++served_.asked[i];
-    if (mode_ == Mode::module) return carry_out(id, policy(id).decide(v, now_));
+    if (mode_ == Mode::module) return carry_out(id, policy(id).decide(v, now_ms_));
     auto& out = own_out_[balancer];
     int pick = 0, equal = 0;
     for (int s = 0; s < mix_.servers; ++s) {
@@ -205,18 +205,18 @@
       if (out[s] == out[pick] && uniform() * ++equal < 1) pick = s;
     }
     ++out[pick];
-    v.attempts[v.attempt_count++] = {.endpoint = pick, .sent_at = now_, .in_flight = true};
+    v.attempts[v.attempt_count++] = {.endpoint = pick, .sent_at_ms = now_ms_, .in_flight = true};
     start_job(pick, {id, 0, held_[id].work});
-    add(v.due, Event::limit, id, 0);
+    add(v.deadline_ms, Event::limit, id, 0);
   }
 
   void carry_out(int id, const Decision& a) {
     auto& h = held_[id];
     if (a.kind == Decision::attempt || a.kind == Decision::wait) {
-      auto p = policy(id).attempt_timeout(h.v, now_);
-      if (p.ask_again_ms != never) add(now_ + p.ask_again_ms, Event::asks, id);
+      auto p = policy(id).attempt_timeout(h.v, now_ms_);
+      if (p.ask_again_ms != never) add(now_ms_ + p.ask_again_ms, Event::asks, id);
       if (a.kind == Decision::attempt) {
-        add(now_ + p.limit_ms, Event::limit, id, h.v.attempt_count - 1);
+        add(now_ms_ + p.limit_ms, Event::limit, id, h.v.attempt_count - 1);
         start_job(a.endpoint, {id, h.v.attempt_count - 1, h.work});
       }
     } else if (a.kind == Decision::reject && counts(h.v)) {
@@ -237,7 +237,7 @@
       auto job = s.waiting.front();
       s.waiting.pop_front();
       jobs_.emplace_back(server, job);
-      add(now_ + job.work, Event::done, static_cast<int>(jobs_.size()) - 1);
+      add(now_ms_ + job.work, Event::done, static_cast<int>(jobs_.size()) - 1);
     }
   }
   void done(int number, int) {
@@ -252,13 +252,13 @@
     if (!f.in_flight) return;
     bool answers = outcome == Outcome::succeeded && !h.over && !h.v.answered;
     if (answers) h.over = true;
-    if (answers && counts(h.v) && now_ - h.v.arrived <= mix_.classes[h.v.request_class].target_ms)
+    if (answers && counts(h.v) && now_ms_ - h.v.arrived_ms <= mix_.classes[h.v.request_class].target_ms)
       ++served_.in_time[h.v.request_class];
     if (mode_ == Mode::module)
       return carry_out(
           id, policy(id).attempt_ended(
                   h.v, {.attempt = number, .outcome = outcome, .request_closed = answers, .load_report = {}},
-                  now_));
+                  now_ms_));
     f.in_flight = false;
     --own_out_[h.balancer][f.endpoint];
   }
@@ -266,7 +266,7 @@
   Mix mix_;
   Mode mode_;
   std::mt19937 rng_;
-  double now_ = start;
+  double now_ms_ = start;
   std::uint64_t order_ = 0;
   std::priority_queue<Event> events_;
   std::vector<std::unique_ptr<Policy>> policies_;
--- a/tests/policy/decision_digest/generated_day.hpp
+++ b/tests/policy/decision_digest/generated_day.hpp
@@ -25,7 +25,7 @@
         rng_(seed * 7919 + 17),
         digest_(digest),
         seed_(seed),
-        policy_(digest_case.settings, seed, now_) {
+        policy_(digest_case.settings, seed, now_ms_) {
     for (int i = 0; i < digest_case.servers; ++i) {
       servers_.push_back({.speed = 0.5 + rng_.uniform()});
       entries_.push_back({.endpoint = i,
@@ -35,19 +35,19 @@
                           .weight = 0.5 + rng_.below(4) * 0.5,
                           .id = 1000u + static_cast<std::uint32_t>(i)});
     }
-    policy_.update_endpoints(EndpointListUpdate::cached, entries_, now_);
+    policy_.update_endpoints(EndpointListUpdate::cached, entries_, now_ms_);
   }
 
   void run() {
     for (int step = 0; step < case_.day_steps; ++step) {
-      now_ += 1 + rng_.below(20);
+      now_ms_ += 1 + rng_.below(20);
       outage_ = case_.starts_in_outage && step < outage_steps;
       handle_due_events();
       arrive();
-      if (now_ >= next_tick_) tick();
+      if (now_ms_ >= next_tick_) tick();
       if (rng_.chance(0.08)) random_event();
     }
-    digest_.add(policy_.drop_probability(now_));
+    digest_.add(policy_.drop_probability(now_ms_));
     digest_learned_state();
   }
 
@@ -55,23 +55,23 @@
   // --- Requests -------------------------------------------------------------------------------------------
   void arrive() {
     double load = case_.arrivals_per_ms * load_factor_;
-    for (; next_arrival_ <= now_; next_arrival_ += (0.2 + 1.6 * rng_.uniform()) / load) {
+    for (; next_arrival_ <= now_ms_; next_arrival_ += (0.2 + 1.6 * rng_.uniform()) / load) {
       int id = next_id_++;
       auto& open = open_requests_[id];
       auto& v = open.request;
       v.request_class = rng_.below(6);
       v.tenant = rng_.below(4) - (rng_.chance(0.05) ? 1 : 0);
-      v.arrived = now_;
-      v.due = now_ + (rng_.chance(0.1) ? 40 + 100 * rng_.uniform() : 600 + 3000 * rng_.uniform());
+      v.arrived_ms = now_ms_;
+      v.deadline_ms = now_ms_ + (rng_.chance(0.1) ? 40 + 100 * rng_.uniform() : 600 + 3000 * rng_.uniform());
       v.client_retry = rng_.chance(0.1);
       v.work_ms = rng_.chance(0.5) ? 5 + 60 * rng_.uniform() : 0;
       if (rng_.chance(0.7)) v.key = 1 + static_cast<std::uint64_t>(rng_.below(rng_.chance(0.5) ? 3 : 200));
       v.large_body = rng_.chance(0.05);
       if (rng_.chance(0.05)) {
         v.body_incoming = true;
-        open.body_complete_at = now_ + 200 * rng_.uniform();
+        open.body_complete_at_ms = now_ms_ + 200 * rng_.uniform();
       }
-      carry_out(id, policy_.decide(v, now_));
+      carry_out(id, policy_.decide(v, now_ms_));
     }
   }
 
@@ -79,12 +79,13 @@
     digest_decision(a);
     auto& open = open_requests_[id];
     auto& v = open.request;
-    for (int n = 0; n < a.probe_count; ++n) probes_.emplace_back(now_ + 2 + 6 * rng_.uniform(), a.probes[n]);
+    for (int n = 0; n < a.probe_count; ++n)
+      probes_.emplace_back(now_ms_ + 2 + 6 * rng_.uniform(), a.probes[n]);
     if (a.kind == Decision::attempt || a.kind == Decision::wait) {
-      auto p = policy_.attempt_timeout(v, now_);
+      auto p = policy_.attempt_timeout(v, now_ms_);
       digest_.add(p.limit_ms);
       digest_.add(p.ask_again_ms);
-      open.ask_again_at = p.ask_again_ms == never ? never : now_ + p.ask_again_ms;
+      open.ask_again_at_ms = p.ask_again_ms == never ? never : now_ms_ + p.ask_again_ms;
       if (a.kind == Decision::attempt) start(open, a.endpoint, p.limit_ms);
     }
     for (int n = 0; n < max_attempts; ++n)
@@ -95,7 +96,7 @@
   void start(OpenRequest& open, int server, double limit) {
     auto& s = servers_[static_cast<std::size_t>(server)];
     ++s.in_flight;
-    OpenRequest::Pending p{.times_out_at = now_ + limit};
+    OpenRequest::Pending p{.times_out_at_ms = now_ms_ + limit};
     double took = (10 + 40 * rng_.uniform()) * (1 + 0.3 * s.in_flight) / s.speed;
     if (open.request.request_class == 3) took *= 0.2;
     switch (outage_ ? Health::rejecting : s.health) {
@@ -125,8 +126,8 @@
         p.outcome = Outcome::reset;
         break;
     }
-    p.ends_at = now_ + took;
-    if (p.outcome == Outcome::succeeded && rng_.chance(0.1)) p.starts_at = now_ + took / 2;
+    p.ends_at_ms = now_ms_ + took;
+    if (p.outcome == Outcome::succeeded && rng_.chance(0.1)) p.starts_at_ms = now_ms_ + took / 2;
     open.pending[open.request.attempt_count - 1] = p;
   }
 
@@ -138,8 +139,8 @@
     --servers_[static_cast<std::size_t>(server)].in_flight;
     bool closes = outcome == Outcome::succeeded && !v.answered;
     bool torn = v.streaming && outcome != Outcome::succeeded;
-    carry_out(
-        id, policy_.attempt_ended(v, {number, outcome, closes || torn || v.answered, load_of(server)}, now_));
+    carry_out(id, policy_.attempt_ended(v, {number, outcome, closes || torn || v.answered, load_of(server)},
+                                        now_ms_));
   }
 
   void forget_if_done(int id) {
@@ -156,13 +157,13 @@
       for (int n = 0; n < max_attempts; ++n) handle_due_attempt(id, n);
       auto it = open_requests_.find(id);
       if (it == open_requests_.end()) continue;
-      if (it->second.body_complete_at <= now_) body_complete(it->second);
-      if (it->second.ask_again_at > now_) continue;
-      it->second.ask_again_at = never;
-      carry_out(id, policy_.decide(it->second.request, now_));
+      if (it->second.body_complete_at_ms <= now_ms_) body_complete(it->second);
+      if (it->second.ask_again_at_ms > now_ms_) continue;
+      it->second.ask_again_at_ms = never;
+      carry_out(id, policy_.decide(it->second.request, now_ms_));
     }
     std::erase_if(probes_, [this](auto probe) {
-      if (probe.first > now_) return false;
+      if (probe.first > now_ms_) return false;
       probe_ended(probe.second);
       return true;
     });
@@ -173,26 +174,26 @@
     if (it == open_requests_.end()) return;
     auto p = it->second.pending.find(number);
     if (p == it->second.pending.end()) return;
-    if (p->second.starts_at <= now_) {
-      p->second.starts_at = never;
-      p->second.ends_at += 300;
+    if (p->second.starts_at_ms <= now_ms_) {
+      p->second.starts_at_ms = never;
+      p->second.ends_at_ms += 300;
       if (!it->second.request.streaming)
-        carry_out(id, policy_.response_started(it->second.request, number, now_));
+        carry_out(id, policy_.response_started(it->second.request, number, now_ms_));
       it = open_requests_.find(id);  // the decision may have ended the request
       if (it == open_requests_.end()) return;
       p = it->second.pending.find(number);
       if (p == it->second.pending.end()) return;
     }
-    if (p->second.ends_at <= now_)
+    if (p->second.ends_at_ms <= now_ms_)
       end(id, number, p->second.outcome);
-    else if (p->second.times_out_at <= now_)
+    else if (p->second.times_out_at_ms <= now_ms_)
       end(id, number, Outcome::timeout);
   }
 
   void body_complete(OpenRequest& open) {
-    open.body_complete_at = never;
-    policy_.body_complete(open.request, open.request.due + 50, now_);
-    auto p = policy_.attempt_timeout(open.request, now_);
+    open.body_complete_at_ms = never;
+    policy_.body_complete(open.request, open.request.deadline_ms + 50, now_ms_);
+    auto p = policy_.attempt_timeout(open.request, now_ms_);
     digest_.add(p.limit_ms);
     digest_.add(p.ask_again_ms);
   }
@@ -211,7 +212,7 @@
     bool answers = s.health != Health::silent && s.health != Health::unreachable;
     double took = 1 + 4 * rng_.uniform();
     policy_.probe_ended(server, answers ? Outcome::succeeded : Outcome::timeout, took,
-                        {.count = 2, .values = {held / 4, held}}, now_);
+                        {.count = 2, .values = {held / 4, held}}, now_ms_);
   }
 
   void server_changes() {
@@ -232,7 +233,7 @@
       case 2:
       case 3:
         e.state = EndpointState::ready;
-        e.up_since = now_;
+        e.up_since = now_ms_;
         break;
       case 4:
         e.weight = 0.5 + rng_.below(4) * 0.5;
@@ -243,11 +244,11 @@
       default:
         for (auto& other : entries_)
           if (other.state != EndpointState::ready && rng_.chance(0.7)) other.state = EndpointState::ready;
-        policy_.update_endpoints(EndpointListUpdate::full, entries_, now_);
+        policy_.update_endpoints(EndpointListUpdate::full, entries_, now_ms_);
         return;
     }
     EndpointEntry changed = e;
-    policy_.update_endpoints(EndpointListUpdate::delta, {&changed, 1}, now_);
+    policy_.update_endpoints(EndpointListUpdate::delta, {&changed, 1}, now_ms_);
   }
 
   // --- Other events ----------------------------------------------------------------------------------
@@ -261,9 +262,9 @@
       case 4:
         return list_changes();
       case 5:
-        return policy_.update_endpoints(EndpointListUpdate::failed, {}, now_);
+        return policy_.update_endpoints(EndpointListUpdate::failed, {}, now_ms_);
       case 6:
-        return policy_.update_endpoints(EndpointListUpdate::cached, entries_, now_);
+        return policy_.update_endpoints(EndpointListUpdate::cached, entries_, now_ms_);
       case 7:
         load_factor_ = rng_.chance(0.5) ? 1 : 0.3 + 4 * rng_.uniform();
         return;
@@ -285,7 +286,7 @@
     int i = rng_.below(case_.servers + 1);  // the last of them has never been listed
     bool out = rng_.chance(0.4);
     if (i < case_.servers) entries_[static_cast<std::size_t>(i)].manually_drained = out;
-    policy_.set_manual_drain(i, out, now_);
+    policy_.set_manual_drain(i, out, now_ms_);
   }
 
   void gossip_arrives() {
@@ -298,31 +299,31 @@
     double share = 0.5;
     for (int n = rng_.below(4); n > 0; --n)
       content.keys.push_back({.key = static_cast<std::uint32_t>(rng_.below(1 << 24)), .share = share *= 0.6});
-    policy_.gossip_received(content, now_);
+    policy_.gossip_received(content, now_ms_);
   }
 
   void client_leaves() {
     if (open_requests_.empty()) return;
     auto it = std::next(open_requests_.begin(), rng_.below(static_cast<int>(open_requests_.size())));
-    if (!it->second.request.answered) carry_out(it->first, policy_.client_left(it->second.request, now_));
+    if (!it->second.request.answered) carry_out(it->first, policy_.client_left(it->second.request, now_ms_));
   }
 
   // A successor takes over with what this one has learned; the open requests end with it.
   void restart_with_learned_state() {
-    for (auto& [id, open] : open_requests_) digest_decision(policy_.client_left(open.request, now_));
+    for (auto& [id, open] : open_requests_) digest_decision(policy_.client_left(open.request, now_ms_));
     open_requests_.clear();
     probes_.clear();
     for (auto& s : servers_) s.in_flight = 0;
-    auto learned = policy_.learned_state(now_);
+    auto learned = policy_.learned_state(now_ms_);
     digest_learned_state();
-    policy_ = Policy(case_.settings, ++seed_, now_);
-    policy_.update_endpoints(EndpointListUpdate::cached, entries_, now_);
-    policy_.restore(learned, now_);
+    policy_ = Policy(case_.settings, ++seed_, now_ms_);
+    policy_.update_endpoints(EndpointListUpdate::cached, entries_, now_ms_);
+    policy_.restore(learned, now_ms_);
   }
 
   void tick() {
-    auto c = policy_.tick(now_);
-    next_tick_ = now_ + policy_.tick_interval_ms();
+    auto c = policy_.tick(now_ms_);
+    next_tick_ = now_ms_ + policy_.tick_interval_ms();
     digest_.add(static_cast<int>(c.subscribe));
     digest_.add(static_cast<int>(c.lookup));
     digest_.add(static_cast<std::uint64_t>(c.log_lines.size()));
@@ -337,11 +338,12 @@
         digest_.add(k.share);
       }
     }
-    if (c.subscribe && rng_.chance(0.6)) policy_.update_endpoints(EndpointListUpdate::full, entries_, now_);
+    if (c.subscribe && rng_.chance(0.6))
+      policy_.update_endpoints(EndpointListUpdate::full, entries_, now_ms_);
     std::vector<int> unhealthy;
-    digest_.add(policy_.unavailable_endpoints(now_, &unhealthy));
+    digest_.add(policy_.unavailable_endpoints(now_ms_, &unhealthy));
     for (int i : unhealthy) digest_.add(i);
-    digest_.add(policy_.drop_probability(now_));
+    digest_.add(policy_.drop_probability(now_ms_));
   }
 
   // --- The digest -----------------------------------------------------------------------------------------
@@ -355,7 +357,7 @@
   }
 
   void digest_learned_state() {
-    for (const auto& [name, value] : policy_.learned_state(now_)) {
+    for (const auto& [name, value] : policy_.learned_state(now_ms_)) {
       digest_.add(std::string_view(name));
       digest_.add(value);
     }
@@ -365,7 +367,7 @@
   Generator rng_;
   Digest& digest_;
   std::uint64_t seed_;
-  double now_ = 100000;
+  double now_ms_ = 100000;
   double next_tick_ = 100000;
   double next_arrival_ = 100000;
   double load_factor_ = 1;
--- a/tests/policy/decision_digest/model.hpp
+++ b/tests/policy/decision_digest/model.hpp
@@ -19,12 +19,12 @@
 // A request that has not ended, with what is scheduled to happen to it.
 struct OpenRequest {
   Request request;
-  double ask_again_at = never;
-  double body_complete_at = never;
+  double ask_again_at_ms = never;
+  double body_complete_at_ms = never;
   struct Pending {
-    double ends_at = never;
-    double times_out_at = never;
-    double starts_at = never;
+    double ends_at_ms = never;
+    double times_out_at_ms = never;
+    double starts_at_ms = never;
     Outcome outcome = Outcome::succeeded;
   };
   std::map<int, Pending> pending;  // by the attempt's number
--- a/tests/policy/load_estimator_test.cpp
+++ b/tests/policy/load_estimator_test.cpp
@@ -78,7 +78,7 @@
     a.pass(600);
     for (auto& m : a.gossip)
       if (auto content = decode_gossip(spoil(encode_gossip(m.content))))
-        b.policy.gossip_received(*content, b.now);
+        b.policy.gossip_received(*content, b.now_ms);
     for (int i = 0; i < 300; ++i) {
       int id = b.submit(0, 5000, 0, 9000 + i);
       b.end(id, 0, Outcome::succeeded);
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -18,7 +18,7 @@
     w.pass(10);
   }
   EXPECT_LT(w.sends[0], 20);
-  EXPECT_LE(w.policy.drop_probability(w.now), 0);  // and does not throttle the tier
+  EXPECT_LE(w.policy.drop_probability(w.now_ms), 0);  // and does not throttle the tier
 }
 
 // After its ejection a server is tried, for some time, only by a request that may be repeated.
@@ -68,7 +68,7 @@
       }
     };
     rounds(300);
-    for (std::size_t i = 6; i < 16; ++i) w.entries[i].up_since = w.now;
+    for (std::size_t i = 6; i < 16; ++i) w.entries[i].up_since = w.now_ms;
     w.update_endpoints(EndpointListUpdate::full, w.entries);
     int before = w.sends[0];
     rounds(250);  // 5 s: a trial after each ejection, and no more
@@ -81,7 +81,8 @@
   PolicyHarness w({}, 4, 5);
   w.stream(0, 20, 4000, [](EndpointIndex endpoint) { return endpoint == 0 ? never : 40.0; });
   EXPECT_LE(w.sends[0], 4);
-  for (const auto& [id, h] : w.requests) EXPECT_LT(w.now - h.v.arrived, 3000);  // none was left waiting there
+  for (const auto& [id, h] : w.requests)
+    EXPECT_LT(w.now_ms - h.v.arrived_ms, 3000);  // none was left waiting there
 }
 
 // A silent server went on getting requests until the first timed out (seen on sockets): the more are in
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -60,7 +60,7 @@
     throttled = throttled || reason_of(jammed, jammed.submit(1, 900)) == RejectionReason::throttle;
   EXPECT_TRUE(throttled);
   PolicyHarness starting({}, 1, 1);
-  starting.entries[0].up_since = starting.now;
+  starting.entries[0].up_since = starting.now_ms;
   starting.update_endpoints(EndpointListUpdate::full, starting.entries);
   for (int i = 0; i < 3; ++i) id = starting.submit(0, 5000);
   EXPECT_EQ(reason_of(starting, id), RejectionReason::slow_start);
@@ -70,10 +70,10 @@
   PolicyHarness w({}, 2, 3);
   int asks = 0;
   for (double t = 0; t < 8000; t += w.policy.tick_interval_ms()) {
-    auto c = w.policy.tick(w.now + t);
+    auto c = w.policy.tick(w.now_ms + t);
     if (!c.subscribe) continue;
     ++asks;
-    w.policy.update_endpoints(EndpointListUpdate::failed, {}, w.now + t);
+    w.policy.update_endpoints(EndpointListUpdate::failed, {}, w.now_ms + t);
   }
   EXPECT_GE(asks, 3);
   EXPECT_LE(asks, 8);
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -67,11 +67,11 @@
   constexpr double window_ms = 1000;
   PolicyHarness w({.ttl = window_ms, .copies = false}, 4, 3);
   int id = w.submit(2, 5000);
-  EXPECT_EQ(w.policy.attempt_timeout(w.requests.at(id).v, w.now).send_by_ms, never);
+  EXPECT_EQ(w.policy.attempt_timeout(w.requests.at(id).v, w.now_ms).send_by_ms, never);
   w.pass(300);
   w.end(id, 0, Outcome::reset);
   ASSERT_EQ(w.requests.at(id).v.attempt_count, 2);
-  double send_by_ms = w.policy.attempt_timeout(w.requests.at(id).v, w.now).send_by_ms;
+  double send_by_ms = w.policy.attempt_timeout(w.requests.at(id).v, w.now_ms).send_by_ms;
   EXPECT_GT(send_by_ms, 0);
   EXPECT_LE(send_by_ms, window_ms - 300);
 }
@@ -87,7 +87,7 @@
           {.ttl = window_ms, .copies = false}, 4, 3,
           {{"limits.retry_after", "true"}, {"limits.max_retry_after_ms", std::to_string(longest_ms)}});
       int id = w.submit(2, 5000);
-      double sent_at = w.now;
+      double sent_at_ms = w.now_ms;
       feed(w, 0, 300);
       w.pass(waited_ms);
       w.advised = 0;
@@ -96,7 +96,7 @@
       if (w.finals.at(id) != Decision::reject) continue;
       ++rejected;
       EXPECT_GT(w.advised, 0);
-      EXPECT_LE(w.now + w.advised, sent_at + window_ms) << longest_ms << " " << waited_ms;
+      EXPECT_LE(w.now_ms + w.advised, sent_at_ms + window_ms) << longest_ms << " " << waited_ms;
     }
   EXPECT_EQ(rejected, 2);  // of those that have time to come again
 }
@@ -106,15 +106,18 @@
 TEST(RetryPolicy, TheWindowOfTheKeyBeginsWithTheFirstByte) {
   constexpr double window_ms = 1000, body_took_ms = 500, answered_after_ms = 450;
   PolicyHarness w({.ttl = window_ms, .copies = false}, 4, 3);
-  Request request{
-      .request_class = 2, .arrived = w.now, .due = w.now + 60000, .large_body = true, .body_incoming = true};
-  ASSERT_EQ(w.policy.decide(request, w.now).kind, Decision::attempt);
-  w.now += body_took_ms;
-  w.policy.body_complete(request, w.now + 5000, w.now);
-  w.now += answered_after_ms;
+  Request request{.request_class = 2,
+                  .arrived_ms = w.now_ms,
+                  .deadline_ms = w.now_ms + 60000,
+                  .large_body = true,
+                  .body_incoming = true};
+  ASSERT_EQ(w.policy.decide(request, w.now_ms).kind, Decision::attempt);
+  w.now_ms += body_took_ms;
+  w.policy.body_complete(request, w.now_ms + 5000, w.now_ms);
+  w.now_ms += answered_after_ms;
   request.body_forwarded = true;
   auto decision =
-      w.policy.attempt_ended(request, {.attempt = 0, .outcome = Outcome::reset, .load_report = {}}, w.now);
+      w.policy.attempt_ended(request, {.attempt = 0, .outcome = Outcome::reset, .load_report = {}}, w.now_ms);
   EXPECT_EQ(decision.kind, Decision::fail);  // a tenth of the window is kept in hand
 }
 
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -45,7 +45,7 @@
       break;
     case 11:
       w.entries[endpoint].state = EndpointState::ready;
-      w.entries[endpoint].up_since = up = std::max(up + 1, w.now - b);
+      w.entries[endpoint].up_since = up = std::max(up + 1, w.now_ms - b);
       w.update_endpoints(EndpointListUpdate::delta, {w.entries[endpoint]});
       break;
     case 12:
@@ -67,7 +67,7 @@
   EXPECT_TRUE(rc::check("the four rules", [](std::uint32_t seed, bool copies) {
     auto steps = *rc::gen::resize(400, rc::gen::arbitrary<std::vector<Step>>());
     PolicyHarness w({.copies = copies}, 1 + static_cast<int>(seed % 8), seed);
-    double up = w.now - 20000;
+    double up = w.now_ms - 20000;
     for (const auto& s : steps) {
       apply(w, s, up);
       RC_ASSERT(w.check.breach == "");
@@ -80,7 +80,7 @@
 TEST(Rules, SameEventsGiveTheSameAnswers) {
   EXPECT_TRUE(rc::check("deterministic", [](std::uint32_t seed, const std::vector<Step>& steps) {
     PolicyHarness a({}, 6, seed), b({}, 6, seed);
-    double up_a = a.now, up_b = b.now;
+    double up_a = a.now_ms, up_b = b.now_ms;
     for (const auto& s : steps) {
       apply(a, s, up_a);
       apply(b, s, up_b);
--- a/tests/proxy/discovery/discovery_client_test.cpp
+++ b/tests/proxy/discovery/discovery_client_test.cpp
@@ -43,12 +43,12 @@
   transport::Loop loop;
   transport::Pool pool{64};
   DueTimes due;
-  double now = 1000;
+  double now_ms = 1000;
   DiscoveryStandIn agent{loop};
   DiscoveryClient client;
 
   explicit ClientFixture(std::uint64_t seed = 7, std::optional<double> push_grace_ms = {})
-      : client(loop, pool, due, now, agent.at.address(), 0, seed, Logger(),
+      : client(loop, pool, due, now_ms, agent.at.address(), 0, seed, Logger(),
                {.push_grace_ms = push_grace_ms}) {
     client.start();
     turn();
@@ -63,11 +63,11 @@
   // Time passes; what falls due on the way is done.
   void go(double until) {
     while (auto key = due.first(until)) {
-      now = std::max(now, due.next());
+      now_ms = std::max(now_ms, due.next());
       client.deadline_reached();
       turn();
     }
-    now = until;
+    now_ms = until;
   }
   // The agent takes the connection that waits and opens a watch on it.
   std::string watch(const std::string& line) {
@@ -127,7 +127,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     ClientFixture w(seed);
     ASSERT_TRUE(w.watch(empty_list).starts_with("GET /api/targets?watch=1&after=0 "));
-    double last = w.now;
+    double last = w.now_ms;
     w.go(last + 2600);  // a late sign of life is no silence
     ASSERT_FALSE(w.dialled());
     w.go(last + 5000);
@@ -140,20 +140,20 @@
 TEST(Discovery, AnAgentThatSaysNothingAtAllIsAskedAgainSoon) {
   ClientFixture w(7, 250);
   ASSERT_TRUE(w.dialled());
-  w.go(w.now + 1800);
+  w.go(w.now_ms + 1800);
   EXPECT_TRUE(w.dialled());
 }
 
 // A discovery that is polled answers in turn: a call that is given up while it waits is work for nobody.
 TEST(Discovery, ACallThatWaitsInTurnIsNotGivenUpAndOneWithoutAnAnswerIsRepeated) {
   ClientFixture w;
-  double called = w.now;
+  double called = w.now_ms;
   w.go(called + 2100);
   EXPECT_TRUE(w.watch(empty_list).starts_with("GET /api/targets?watch=1&after=0 "));
   EXPECT_FALSE(w.dialled());
   ClientFixture silent;
   ASSERT_TRUE(silent.dialled());
-  silent.go(silent.now + 2500);
+  silent.go(silent.now_ms + 2500);
   EXPECT_TRUE(silent.dialled());
 }
 
@@ -165,9 +165,9 @@
   w.turn();
   w.agent.send_bytes("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n");
   w.turn();
-  w.go(w.now + 1400);
+  w.go(w.now_ms + 1400);
   EXPECT_FALSE(w.dialled());
-  w.go(w.now + 200);
+  w.go(w.now_ms + 200);
   EXPECT_TRUE(w.dialled());
 }
 
@@ -179,10 +179,10 @@
   w.move_to(other);
   EXPECT_TRUE(w.take_call(other).starts_with("GET /api/targets?watch=1&after=5 "));
   w.open_watch(other, R"({"seq":6,"whole":false,"hosts":[]})");
-  w.go(w.now + 100);
+  w.go(w.now_ms + 100);
   w.blank_line(other);
   EXPECT_EQ(w.take_call(other), "");
-  w.go(w.now + 400);
+  w.go(w.now_ms + 400);
   w.blank_line(other);
   EXPECT_TRUE(w.take_call(other).starts_with("GET /api/targets HTTP"));
   std::string list = R"({"seq":7,"whole":true,"hosts":[]})";
@@ -210,12 +210,12 @@
   w.move_to(other);
   ASSERT_FALSE(w.take_call(other).empty());
   w.open_watch(other, R"({"seq":6,"whole":false,"hosts":[]})");
-  w.go(w.now + 500);
+  w.go(w.now_ms + 500);
   w.blank_line(other);
   ASSERT_TRUE(w.take_call(other).starts_with("GET /api/targets HTTP"));
   other.send_bytes("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
   w.turn();
-  w.go(w.now + 200);
+  w.go(w.now_ms + 200);
   EXPECT_TRUE(w.take_call(other).starts_with("GET /api/targets?watch=1&after=6 "));
 }
 
@@ -254,9 +254,9 @@
     w.turn();
     w.agent.send_bytes("23\r\n{\"seq\":7,\"whole\":false,\"hosts\":[]}\n\r\n");
     w.turn();
-    w.go(w.now + 1000);
+    w.go(w.now_ms + 1000);
     ASSERT_FALSE(w.dialled());
-    w.go(w.now + 800);
+    w.go(w.now_ms + 800);
     ASSERT_TRUE(w.watch(empty_list).starts_with("GET /api/targets?watch=1&after=5 "));
   }
 }
@@ -275,9 +275,9 @@
         each->agent.conn.close();
         each->turn();
       }
-      EXPECT_LE(w.due.next() - w.now, grace / 4 * 1.25 + 1e-6) << i;
+      EXPECT_LE(w.due.next() - w.now_ms, grace / 4 * 1.25 + 1e-6) << i;
     }
-    EXPECT_GT(asked.due.next() - asked.now, 1000);
+    EXPECT_GT(asked.due.next() - asked.now_ms, 1000);
   }
 }
 
@@ -286,15 +286,15 @@
   ClientFixture w(
       7);  // where lists are asked for: elsewhere a watch without news is opened anew all the same
   ASSERT_TRUE(w.watch(empty_list).starts_with("GET "));
-  double from = w.now;
+  double from = w.now_ms;
   bool again = false;
   for (int i = 0; i < 20 && !again; ++i) {
     w.send_chunk("{");
-    w.go(w.now + 500);
+    w.go(w.now_ms + 500);
     again = w.dialled();
   }
   EXPECT_TRUE(again);
-  EXPECT_LE(w.now - from, 4000);
+  EXPECT_LE(w.now_ms - from, 4000);
 }
 
 // Empty lines and no news for as long as a silent watch is given: asked again from the last version, where
@@ -303,16 +303,16 @@
   ClientFixture w(7, 400.0), asked(7);
   for (auto* each : {&w, &asked}) {
     ASSERT_TRUE(each->watch(empty_list).starts_with("GET "));
-    each->go(each->now + 2000);
+    each->go(each->now_ms + 2000);
     each->send_chunk("\n");
     EXPECT_FALSE(each->dialled());
-    each->go(each->now + 2000);
+    each->go(each->now_ms + 2000);
     each->send_chunk("\n");
   }
   ASSERT_TRUE(w.watch(empty_list).starts_with("GET /api/targets?watch=1&after=5 "));
   EXPECT_FALSE(asked.dialled());
   for (int i = 6; i < 12; ++i) {
-    w.go(w.now + 2000);
+    w.go(w.now_ms + 2000);
     w.send_chunk(R"({"seq":)" + std::to_string(i) + R"(,"whole":false,"hosts":[]})" + "\n");
     EXPECT_FALSE(w.dialled());
   }
@@ -339,7 +339,7 @@
   w.send_chunk("\n" + empty_list + "\n");
   ASSERT_EQ(w.client.updates().size(), 1u);
   EXPECT_EQ(w.received(0).seq, 5);
-  w.go(w.now + 200);
+  w.go(w.now_ms + 200);
   EXPECT_TRUE(w.dialled());  // and what it told is asked for again
 }
 
@@ -371,12 +371,12 @@
     w.watch(empty_list);
     for (std::size_t at = 0; at < line.size(); at += 60000) w.send_chunk(line.substr(at, 60000));
     if (line.size() < 20 && !line.ends_with('\n')) continue;  // no line yet: a silent watch
-    w.go(w.now + 130);
+    w.go(w.now_ms + 130);
     EXPECT_TRUE(w.dialled()) << line.substr(0, 20);
   }
   ClientFixture w(7, 400.0);
   int asked = 0;
-  for (double until = w.now + 6000; w.now < until; w.go(w.now + 50))
+  for (double until = w.now_ms + 6000; w.now_ms < until; w.go(w.now_ms + 50))
     if (!w.watch("{\"seq\":6}").empty()) ++asked;
   EXPECT_GE(asked, 4);
   EXPECT_LE(asked, 8);
@@ -396,8 +396,8 @@
         ClientFixture w(seed, grace);
         if (how == Fails::watch_dies) w.watch(empty_list);
         std::vector<transport::Fd> held;
-        double back = w.now + std::pow(4.5, static_cast<double>(seed)) * 230;
-        for (; w.now < back; w.go(w.now + 500)) {
+        double back = w.now_ms + std::pow(4.5, static_cast<double>(seed)) * 230;
+        for (; w.now_ms < back; w.go(w.now_ms + 500)) {
           for (bool full = false; auto fd = w.agent.at.accept(full);) {
             w.turn();
             std::string_view text =
@@ -423,13 +423,13 @@
                                return list != nullptr && list->seq == 9;
                              });
         };
-        double since = w.now;
-        while (!list_received() && w.now < since + 9000) {
+        double since = w.now_ms;
+        while (!list_received() && w.now_ms < since + 9000) {
           w.watch(R"({"seq":9,"whole":true,"hosts":[]})");
-          w.go(w.now + 20);
+          w.go(w.now_ms + 20);
         }
-        longest = std::max(longest, w.now - since);
-        EXPECT_LE(w.now - since, 5500)
+        longest = std::max(longest, w.now_ms - since);
+        EXPECT_LE(w.now_ms - since, 5500)
             << static_cast<int>(how) << " seed " << seed << " " << grace.has_value();
       }
   RecordProperty("longest_ms", std::to_string(longest));
--- a/tests/proxy/discovery/watch_pacing_test.cpp
+++ b/tests/proxy/discovery/watch_pacing_test.cpp
@@ -17,16 +17,16 @@
 struct PolledDiscovery {
   static constexpr double time_out_ms = 2000, longest_queue_ms = 4000;
   double call_ms = 0, out_from = 0, out_until = 0;
-  double free_at = 0;
+  double free_at_ms = 0;
   int wasted = 0;
 
   // When the answer comes, if it is one; or when the call fails.
   std::pair<double, bool> call(double at, double given_up_after) {
     double limit = std::min(time_out_ms, given_up_after);
     if (at >= out_from && at < out_until) return {at + limit, false};
-    if (free_at - at > longest_queue_ms) return {at, false};
-    free_at = std::max(free_at, at) + call_ms;
-    if (free_at - at <= limit) return {free_at, true};
+    if (free_at_ms - at > longest_queue_ms) return {at, false};
+    free_at_ms = std::max(free_at_ms, at) + call_ms;
+    if (free_at_ms - at <= limit) return {free_at_ms, true};
     ++wasted;
     return {at + limit, false};
   }
--- a/tests/proxy/request/request_table_test.cpp
+++ b/tests/proxy/request/request_table_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr RequestNumber number{7};
-constexpr Request request{.arrived = 0, .due = 5000};
+constexpr Request request{.arrived_ms = 0, .deadline_ms = 5000};
 
 // One request class whose requests may be repeated, two endpoints, and what the table asked to be carried
 // out.
--- a/tests/proxy/upstream/idempotency_judge.hpp
+++ b/tests/proxy/upstream/idempotency_judge.hpp
@@ -59,7 +59,7 @@
   int repeated_runs = 0, rejected_after_run = 0;  // of requests with a key
   std::map<RequestId, Seen> requests;
 
-  void ran(RequestId job, double first_byte_ms, int zone, int cell, double now) {
+  void ran(RequestId job, double first_byte_ms, int zone, int cell, double now_ms) {
     auto& seen = requests.at(job);
     if (seen.runs++ == 0) {
       seen.first_run_ms = first_byte_ms;
@@ -68,19 +68,19 @@
     } else {
       if (seen.request_class >= 2) ++repeated_runs;
       if (seen.request_class == 1) fail(job, "ran twice");
-      if (seen.request_class >= 2 && now - seen.first_run_ms > seen.key_ttl_ms)
+      if (seen.request_class >= 2 && now_ms - seen.first_run_ms > seen.key_ttl_ms)
         fail(job, "ran past its window");
       if (seen.request_class == 3 && zone != seen.zone) fail(job, "ran in another zone");
       if (seen.request_class == 4 && cell != seen.cell) fail(job, "ran in another cell");
     }
     if (seen.sent_away_ms >= 0) rejected(job);
   }
-  void answered(RequestId job, double now, double turn_ms, double retry_after_ms) {
+  void answered(RequestId job, double now_ms, double turn_ms, double retry_after_ms) {
     auto& seen = requests.at(job);
     if (seen.finals++ > 0) fail(job, "answered twice");
-    if (now > seen.due_ms + answer_slack_ms + turn_ms) fail(job, "answered too late");
+    if (now_ms > seen.due_ms + answer_slack_ms + turn_ms) fail(job, "answered too late");
     if (retry_after_ms < 0) return;
-    seen.sent_away_ms = now + retry_after_ms;
+    seen.sent_away_ms = now_ms + retry_after_ms;
     if (seen.runs > 0) rejected(job);
   }
   void over() {
@@ -113,7 +113,7 @@
     return std::ranges::any_of(connections_, [&](const Connection& c) { return !c.over && c.job == job; });
   }
   // Takes all that has come by now.
-  void receive(double now) {
+  void receive(double now_ms) {
     for (bool full = false; auto fd = door_.accept(full);) {
       if (chance_.of(unread_share)) continue;
       connections_.push_back({.fd = std::move(fd)});
@@ -124,17 +124,17 @@
            (n = recv(c.fd.get(), bytes, sizeof bytes, MSG_DONTWAIT)) != -1 || errno != EAGAIN;) {
         c.over = n <= 0;
         if (c.over) break;
-        if (c.held.empty()) c.first_byte_ms = now;
+        if (c.held.empty()) c.first_byte_ms = now_ms;
         c.held.append(bytes, static_cast<std::size_t>(n));
       }
   }
   // Starts on what is whole, in the zone and cell where it stands; `second_copy` says of a request whether
   // another attempt of it is out.
   template <class SecondCopy>
-  void work(int zone, int cell, double now, SecondCopy&& second_copy) {
+  void work(int zone, int cell, double now_ms, SecondCopy&& second_copy) {
     for (auto& c : connections_) {
-      if (c.job == 0 && is_complete(c.held)) begin(c, zone, cell, now, second_copy);
-      if (c.job != 0 && c.answer_at <= now) answer(c);
+      if (c.job == 0 && is_complete(c.held)) begin(c, zone, cell, now_ms, second_copy);
+      if (c.job != 0 && c.answer_at_ms <= now_ms) answer(c);
     }
     std::erase_if(connections_, [](const Connection& c) { return c.over; });
   }
@@ -146,7 +146,7 @@
     double first_byte_ms = 0;
     bool over = false;  // ended by one of the two
     RequestId job = 0;  // 0: it works on none
-    double answer_at = never;
+    double answer_at_ms = never;
     std::string answer = {};  // empty: a reset
   };
   void ready(std::uint32_t) override {}
@@ -160,12 +160,12 @@
     return head != std::string::npos && held.size() >= head + 4 + number_after(held, "Content-Length: ");
   }
   template <class SecondCopy>
-  void begin(Connection& c, int zone, int cell, double now, SecondCopy&& second_copy) {
+  void begin(Connection& c, int zone, int cell, double now_ms, SecondCopy&& second_copy) {
     auto job = static_cast<RequestId>(number_after(c.held, "X-Call-Id: "));
     c.held.clear();
     if (second_copy(job)) judge_.fail(job, "two at once");
     c.job = job;
-    c.answer_at = now + chance_.between(1, 60);
+    c.answer_at_ms = now_ms + chance_.between(1, 60);
     c.answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     double draw = chance_.uniform();
     auto drawn = [&draw](double share) { return (draw -= share) < 0; };
@@ -178,14 +178,14 @@
     else if (drawn(reset_share))
       c.answer.clear();
     else if (drawn(silent_share))
-      c.answer_at = never;
+      c.answer_at_ms = never;
     else if (drawn(slow_share))
-      c.answer_at = now + chance_.between(300, 3000);
-    judge_.ran(job, c.first_byte_ms, zone, cell, now);
+      c.answer_at_ms = now_ms + chance_.between(300, 3000);
+    judge_.ran(job, c.first_byte_ms, zone, cell, now_ms);
   }
   static void answer(Connection& c) {
     c.job = 0;
-    c.answer_at = never;
+    c.answer_at_ms = never;
     auto sent = c.answer.empty() ? 0 : ::send(c.fd.get(), c.answer.data(), c.answer.size(), MSG_NOSIGNAL);
     if (sent > 0) return;
     linger at_once{.l_onoff = 1, .l_linger = 0};
--- a/tests/proxy/upstream/idempotency_random_test.cpp
+++ b/tests/proxy/upstream/idempotency_random_test.cpp
@@ -34,7 +34,7 @@
         copies_(seed % 2 == 0),
         // 100 ms to 30 s, the short ones as often as the long.
         key_ttl_ms_(100 * std::pow(300, chance_.uniform())),
-        policy_(settings(), seed, now_) {
+        policy_(settings(), seed, now_ms_) {
     for (int i = 0; i < server_count; ++i) {
       servers_.push_back(std::make_unique<StandIn>(loop_, judge, chance_));
       EndpointIndex endpoint = upstreams_.index_of("s" + std::to_string(i));
@@ -42,22 +42,22 @@
       listed_.push_back(
           {.endpoint = endpoint, .zone = i % places, .cell = i / 2, .weight = 1, .id = 1000u + i});
     }
-    policy_.update_endpoints(EndpointListUpdate::full, listed_, now_);
+    policy_.update_endpoints(EndpointListUpdate::full, listed_, now_ms_);
   }
 
   void run() {
     for (int turn = 0; turn < turns && judge.breach.empty(); ++turn) {
       // A turn of the loop may last long; what falls due within it is late by that much.
       turn_ms_ = chance_.of(0.02) ? chance_.between(50, 400) : chance_.between(1, 15);
-      now_ += turn_ms_;
-      if (chance_.of(0.02)) silent_until_ = now_ + chance_.between(50, 1500);
+      now_ms_ += turn_ms_;
+      if (chance_.of(0.02)) silent_until_ = now_ms_ + chance_.between(50, 1500);
       if (chance_.of(0.08)) server_moves();
-      take_turn(now_ >= silent_until_ && chance_.of(0.8));
+      take_turn(now_ms_ >= silent_until_ && chance_.of(0.8));
       for (int n = chance_.below(3); n > 0; --n) request_comes();
       servers_work();
     }
     for (int turn = 0; turn < last_turns && requests_.size() > 0 && judge.breach.empty(); ++turn) {
-      now_ += turn_ms_ = 20;
+      now_ms_ += turn_ms_ = 20;
       take_turn(true);
       servers_work();
     }
@@ -88,9 +88,9 @@
       loop_.dispatch();
     }
     events_and_due_times();
-    if (now_ >= tick_at_) {
-      static_cast<void>(policy_.tick(now_));
-      tick_at_ = now_ + policy_.tick_interval_ms();
+    if (now_ms_ >= tick_at_ms_) {
+      static_cast<void>(policy_.tick(now_ms_));
+      tick_at_ms_ = now_ms_ + policy_.tick_interval_ms();
     }
     bodies_go_on();
     events_and_due_times();
@@ -99,9 +99,9 @@
 
   // All that has been written by now reaches the servers as they stand now.
   void servers_work() {
-    for (auto& server : servers_) server->receive(now_);
+    for (auto& server : servers_) server->receive(now_ms_);
     for (std::size_t i = 0; i < servers_.size(); ++i)
-      servers_[i]->work(listed_[i].zone, listed_[i].cell, now_, [this](RequestId job) {
+      servers_[i]->work(listed_[i].zone, listed_[i].cell, now_ms_, [this](RequestId job) {
         return !copies_ && std::ranges::any_of(servers_, [&](const auto& s) { return s->works_on(job); });
       });
   }
@@ -109,9 +109,9 @@
   void events_and_due_times() {
     do {
       for (auto& event : std::exchange(upstreams_.events(), {})) upstream_event(event);
-      while (auto key = due_.first(now_))
+      while (auto key = due_.first(now_ms_))
         if (transport::kind_of(*key) == proxy::RequestTable::due_kind)
-          requests_.decision_due(proxy::RequestNumber{transport::number_of(*key)}, now_);
+          requests_.decision_due(proxy::RequestNumber{transport::number_of(*key)}, now_ms_);
         else
           upstreams_.deadline_reached(*key);
     } while (!upstreams_.events().empty());
@@ -130,14 +130,15 @@
     message->feed(body.substr(0, here));
     bool incoming = !message->complete();
     Request request{.request_class = request_class,
-                    .arrived = now_,
-                    .due = now_ + (incoming ? longest_body_ms : budget_ms),
+                    .arrived_ms = now_ms_,
+                    .deadline_ms = now_ms_ + (incoming ? longest_body_ms : budget_ms),
                     .large_body = incoming,
                     .body_incoming = incoming};
-    judge.requests[job] = {.request_class = request_class, .due_ms = request.due, .key_ttl_ms = key_ttl_ms_};
+    judge.requests[job] = {
+        .request_class = request_class, .due_ms = request.deadline_ms, .key_ttl_ms = key_ttl_ms_};
     in_hand_[job] = {
         .message = std::move(message), .rest = incoming ? body.substr(here) : "", .budget_ms = budget_ms};
-    requests_.request_arrived(proxy::RequestNumber{job}, request, now_);
+    requests_.request_arrived(proxy::RequestNumber{job}, request, now_ms_);
   }
 
   // The rest of some bodies comes.
@@ -145,10 +146,10 @@
     for (auto& [job, held] : in_hand_) {
       if (held.rest.empty() || !chance_.of(0.1)) continue;
       held.message->feed(std::exchange(held.rest, {}));
-      double due_ms = now_ + held.budget_ms;
+      double due_ms = now_ms_ + held.budget_ms;
       judge.requests[job].due_ms = due_ms;
       auto attempt = attempt_id(job, last_attempt_[job]);
-      upstreams_.set_limit(attempt, requests_.body_complete(proxy::RequestNumber{job}, due_ms, now_));
+      upstreams_.set_limit(attempt, requests_.body_complete(proxy::RequestNumber{job}, due_ms, now_ms_));
       upstreams_.continue_request(attempt);
     }
   }
@@ -157,7 +158,7 @@
     auto& entry = listed_[static_cast<std::size_t>(chance_.below(server_count))];
     entry.zone = chance_.below(places);
     entry.cell = chance_.below(places);
-    policy_.update_endpoints(EndpointListUpdate::delta, {&entry, 1}, now_);
+    policy_.update_endpoints(EndpointListUpdate::delta, {&entry, 1}, now_ms_);
     requests_.endpoints_updated();
   }
 
@@ -173,11 +174,11 @@
                              .outcome = event.outcome,
                              .request_closed = !open || succeeded,
                              .load_report = {}},
-                            now_);
+                            now_ms_);
   }
 
   void answered(RequestId job, double retry_after_ms) {
-    judge.answered(job, now_, turn_ms_, retry_after_ms);
+    judge.answered(job, now_ms_, turn_ms_, retry_after_ms);
     for (int number = 0; number < max_attempts; ++number) upstreams_.abandon_unsent(attempt_id(job, number));
   }
 
@@ -215,7 +216,7 @@
   void probe(EndpointIndex) override {}
   void released(proxy::RequestNumber request) override { in_hand_.erase(to_integer(request)); }
 
-  double now_ = 100000, tick_at_ = now_, turn_ms_ = 0;
+  double now_ms_ = 100000, tick_at_ms_ = now_ms_, turn_ms_ = 0;
   double silent_until_ = 0;  // until then nothing comes from the sockets
   Chance chance_;
   Fault fault_;
@@ -229,7 +230,7 @@
   std::vector<EndpointEntry> listed_;
   std::map<RequestId, InHand> in_hand_;
   std::map<RequestId, int> last_attempt_;
-  proxy::Upstreams upstreams_{loop_, pool_, due_, now_, {}, proxy::Logger(), [] { return false; }};
+  proxy::Upstreams upstreams_{loop_, pool_, due_, now_ms_, {}, proxy::Logger(), [] { return false; }};
   proxy::RequestTable requests_{policy_, due_, *this};
   RequestId next_job_ = 1;
 };
--- a/tests/proxy/upstream/upstreams_test.cpp
+++ b/tests/proxy/upstream/upstreams_test.cpp
@@ -25,8 +25,8 @@
   transport::Loop loop;
   transport::Pool pool(4);
   transport::DueTimes due;
-  double now = 0;
-  Upstreams upstreams(loop, pool, due, now, {}, Logger(), [] { return false; });
+  double now_ms = 0;
+  Upstreams upstreams(loop, pool, due, now_ms, {}, Logger(), [] { return false; });
   for (int i = 0; i < 1000; ++i) {
     EndpointIndex endpoint = upstreams.index_of("s" + std::to_string(i));
     EXPECT_EQ(endpoint, i % 2);
@@ -49,9 +49,9 @@
   transport::Loop loop;
   transport::Pool pool{64};
   transport::DueTimes due;
-  double now = 1000;
+  double now_ms = 1000;
   transport::Listener listener{loop, *transport::Address::parse("127.0.0.1:0"), *this};
-  Upstreams upstreams{loop, pool, due, now, {}, Logger(), [] { return false; }};
+  Upstreams upstreams{loop, pool, due, now_ms, {}, Logger(), [] { return false; }};
   SharedMessage request = std::make_shared<Message>(pool, Message::Kind::request);
 
   UpstreamsFixture() {
@@ -98,8 +98,8 @@
     EXPECT_FALSE(fixture.upstreams.cancel(1));
     EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::superseded});
     EXPECT_EQ(fixture.received_by_server(), "");
-    fixture.now += 600;
-    while (auto key = fixture.due.first(fixture.now)) fixture.upstreams.deadline_reached(*key);
+    fixture.now_ms += 600;
+    while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
     EXPECT_EQ(fixture.take_outcomes(), Outcomes{});
   }
   {
@@ -116,8 +116,8 @@
     UpstreamsFixture fixture;  // it times out, and is cancelled in the same turn
     fixture.upstreams.start(1, 0, fixture.request, {.limit_ms = 500, .streaming_budget_ms = 500});
     EXPECT_NE(fixture.received_by_server(), "");
-    fixture.now += 600;
-    while (auto key = fixture.due.first(fixture.now)) fixture.upstreams.deadline_reached(*key);
+    fixture.now_ms += 600;
+    while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
     EXPECT_FALSE(fixture.upstreams.cancel(1));
     fixture.upstreams.abandon_unsent(1);
     EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::timeout});
@@ -130,9 +130,9 @@
 TEST(Upstreams, SendNothingOverAConnectionEstablishedTooLate) {
   UpstreamsFixture fixture;
   fixture.upstreams.start(1, 0, fixture.request, {.limit_ms = 50, .streaming_budget_ms = 50});
-  fixture.now += 60;
+  fixture.now_ms += 60;
   EXPECT_EQ(fixture.received_by_server(), "");
-  while (auto key = fixture.due.first(fixture.now)) fixture.upstreams.deadline_reached(*key);
+  while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
   EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
   fixture.upstreams.start(
       2, 0, fixture.request,
@@ -149,11 +149,11 @@
   auto arriving = std::make_shared<Message>(fixture.pool, Message::Kind::request, Message::Body::streaming);
   arriving->feed("POST /pay HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\nContent-Length: 2\r\n\r\nh");
   fixture.upstreams.start(1, 0, arriving, {.limit_ms = 3600000, .streaming_budget_ms = 50});
-  fixture.now += 10;
+  fixture.now_ms += 10;
   arriving->feed("i");
   fixture.upstreams.set_limit(1, 50);
-  fixture.now += 60;
-  while (auto key = fixture.due.first(fixture.now)) fixture.upstreams.deadline_reached(*key);
+  fixture.now_ms += 60;
+  while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
   EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
 }
 
@@ -164,12 +164,12 @@
     UpstreamsFixture fixture;
     fixture.upstreams.start(1, 0, fixture.request,
                             {.limit_ms = 500, .send_by_ms = 50, .streaming_budget_ms = 500});
-    fixture.now += 60;
+    fixture.now_ms += 60;
     if (at_once) {  // the connection is established in the turn in which the time is over
       EXPECT_EQ(fixture.received_by_server(), "");
       EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
     } else {
-      while (auto key = fixture.due.first(fixture.now)) fixture.upstreams.deadline_reached(*key);
+      while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
       EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
       EXPECT_EQ(fixture.received_by_server(), "");
     }
@@ -178,8 +178,8 @@
   fixture.upstreams.start(1, 0, fixture.request,
                           {.limit_ms = 500, .send_by_ms = 50, .streaming_budget_ms = 500});
   EXPECT_NE(fixture.received_by_server(), "");
-  fixture.now += 400;
-  while (auto key = fixture.due.first(fixture.now)) fixture.upstreams.deadline_reached(*key);
+  fixture.now_ms += 400;
+  while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
   EXPECT_EQ(fixture.take_outcomes(), Outcomes{});
 }
 
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -12,12 +12,12 @@
 namespace meadowgauge::simulator_adapter {
 namespace {
 
-std::string frame(std::uint32_t count, const std::string& rest, double now = 1000, int claim = -1) {
+std::string frame(std::uint32_t count, const std::string& rest, double now_ms = 1000, int claim = -1) {
   std::uint32_t size = claim >= 0 ? claim : static_cast<std::uint32_t>(batch_header_size + rest.size());
   std::string s(batch_header_size, '\0');
   std::memcpy(s.data(), &count, 4);
   std::memcpy(s.data() + 4, &size, 4);
-  std::memcpy(s.data() + 8, &now, 8);
+  std::memcpy(s.data() + 8, &now_ms, 8);
   return s + rest;
 }
 
--- a/tests/testbed/fault_injection_test.cpp
+++ b/tests/testbed/fault_injection_test.cpp
@@ -26,10 +26,10 @@
   std::vector<std::pair<std::size_t, FaultInjection::Kind>> faults;
 };
 Passed pass(FaultInjector& s, Direction direction, const std::string& bytes, std::size_t piece,
-            double now = 0) {
+            double now_ms = 0) {
   Passed p;
   for (std::size_t at = 0; at < bytes.size(); at += piece)
-    for (auto& step : s.feed(direction, std::string_view(bytes).substr(at, piece), now)) {
+    for (auto& step : s.feed(direction, std::string_view(bytes).substr(at, piece), now_ms)) {
       p.bytes += step.pass;
       if (step.fault) p.faults.emplace_back(p.bytes.size(), step.fault->kind);
     }
--- a/tests/testbed/server_model_test.cpp
+++ b/tests/testbed/server_model_test.cpp
@@ -94,19 +94,19 @@
 TEST(ServerModel, InvariantsHoldForAnyEvents) {
   ASSERT_TRUE(rc::check([](const std::vector<std::uint8_t>& events, std::uint64_t seed) {
     ServerModel s({.cores = 2, .queue = 3, .slowdown_threshold = 1}, seed, 0, seed % 2 == 0);
-    double now = 0;
+    double now_ms = 0;
     JobId next = 1;
     std::map<JobId, bool> jobs;
     for (auto e : events) {
-      now += e % 7;
-      for (auto d : s.advance(now))
+      now_ms += e % 7;
+      for (auto d : s.advance(now_ms))
         if (!d.started) RC_ASSERT(jobs.erase(d.job) == 1);
       switch (e % 8) {
         case 0:
           s.silent(e & 64);
           break;
         case 1:
-          s.stall(now + e);
+          s.stall(now_ms + e);
           break;
         case 2:
           if (!jobs.empty() && !jobs.begin()->second) {
@@ -115,7 +115,7 @@
           }
           break;
         default: {
-          auto admission = s.arrive(next, e, "", 0, now);
+          auto admission = s.arrive(next, e, "", 0, now_ms);
           if (admission == ServerModel::Admission::crashed) jobs.clear();
           if (admission == ServerModel::Admission::started || admission == ServerModel::Admission::queued)
             jobs[next] = admission == ServerModel::Admission::started;
