--- a/bench/baselines/plain.cpp
+++ b/bench/baselines/plain.cpp
@@ -15,7 +15,7 @@
   };
   State state;
   std::vector<RequestClass> request_classes;
-  std::vector<int> ready;
+  std::vector<EndpointIndex> ready;
   double tick_ms = 5;
 
   [[nodiscard]] bool idempotent(const Request& v) const {
@@ -33,8 +33,9 @@
   Decision send(Request& v, double now_ms) {
     ready.clear();
     for (int tried = 0; tried < 2 && ready.empty(); ++tried)
-      for (int i = 0; i < static_cast<int>(state.servers.size()); ++i) {
-        const auto& s = state.servers[static_cast<std::size_t>(i)];
+      for (std::size_t n = 0; n < state.servers.size(); ++n) {
+        const auto i = static_cast<EndpointIndex>(n);
+        const auto& s = state.servers[n];
         bool usable =
             s.state == EndpointState::ready || (flaws.ignores_drains && s.state == EndpointState::draining);
         bool again = std::any_of(v.attempts.begin(), v.attempts.begin() + v.attempt_count,
@@ -43,7 +44,7 @@
       }
     if (ready.empty() || v.attempt_count >= max_attempts || now_ms >= v.deadline_ms) return finish(v);
     EndpointIndex endpoint = baselines::choose(ready, state);
-    ++state.servers[static_cast<std::size_t>(endpoint)].in_flight;
+    ++state.servers[position_of(endpoint)].in_flight;
     v.attempts[static_cast<std::size_t>(v.attempt_count++)] = {.endpoint = endpoint,
                                                                .sent_at_ms = now_ms,
                                                                .outcome = Outcome::superseded,
@@ -67,7 +68,7 @@
     f.in_flight = false;
     f.outcome = r.outcome;
     --v.in_flight;
-    auto& s = state.servers[static_cast<std::size_t>(f.endpoint)];
+    auto& s = state.servers[position_of(f.endpoint)];
     s.in_flight = std::max(0, s.in_flight - 1);
     if (v.answered) return {};
     if (r.request_closed) {
@@ -127,20 +128,19 @@
   if (kind != EndpointListUpdate::delta)
     for (auto& s : servers) s.state = EndpointState::gone;
   for (const auto& e : entries) {
-    if (e.endpoint < 0) continue;
-    if (e.endpoint >= static_cast<int>(servers.size()))
-      servers.resize(static_cast<std::size_t>(e.endpoint) + 1);
-    auto& s = servers[static_cast<std::size_t>(e.endpoint)];
+    if (e.endpoint == no_endpoint) continue;
+    if (position_of(e.endpoint) >= servers.size()) servers.resize(position_of(e.endpoint) + 1);
+    auto& s = servers[position_of(e.endpoint)];
     s.state = e.state;
     s.zone = e.zone;
     s.up_since = e.up_since;
   }
 }
-void Policy::probe_ended(int, Outcome, double, const LoadReport&, double) {}
+void Policy::probe_ended(EndpointIndex, Outcome, double, const LoadReport&, double) {}
 PeriodicActions Policy::tick(double) { return {}; }
 double Policy::tick_interval_ms() const { return core_->tick_ms; }
-void Policy::set_manual_drain(int, bool, double) {}
-int Policy::unavailable_endpoints(double, std::vector<int>*) const { return 0; }
+void Policy::set_manual_drain(EndpointIndex, bool, double) {}
+int Policy::unavailable_endpoints(double, std::vector<EndpointIndex>*) const { return 0; }
 void Policy::gossip_received(const GossipContent&, double) {}
 void Policy::body_complete(Request& request, double deadline_ms, double) {
   request.deadline_ms = deadline_ms;
--- a/bench/baselines/plain.hpp
+++ b/bench/baselines/plain.hpp
@@ -28,7 +28,7 @@
 };
 
 // Each baseline defines these.
-int choose(std::span<const int> ready, State& state);
+EndpointIndex choose(std::span<const EndpointIndex> ready, State& state);
 extern const int most_repeats;  // attempts beyond the first, where nothing may have run
 
 // How one that is broken on purpose is broken; a sound one has no flaw.
--- a/bench/baselines/random.cpp
+++ b/bench/baselines/random.cpp
@@ -3,7 +3,7 @@
 namespace meadowgauge::baselines {
 
 // Any server, whatever it has; no repeat.
-int choose(std::span<const int> ready, State& s) { return ready[s.below(ready.size())]; }
+EndpointIndex choose(std::span<const EndpointIndex> ready, State& s) { return ready[s.below(ready.size())]; }
 const int most_repeats = 0;
 const Flaws flaws;
 
--- a/bench/baselines/round_robin.cpp
+++ b/bench/baselines/round_robin.cpp
@@ -3,7 +3,9 @@
 namespace meadowgauge::baselines {
 
 // Servers in turn; no repeat.
-int choose(std::span<const int> ready, State& s) { return ready[s.turn++ % ready.size()]; }
+EndpointIndex choose(std::span<const EndpointIndex> ready, State& s) {
+  return ready[s.turn++ % ready.size()];
+}
 const int most_repeats = 0;
 const Flaws flaws;
 
--- a/bench/baselines/two_choices.cpp
+++ b/bench/baselines/two_choices.cpp
@@ -3,12 +3,10 @@
 namespace meadowgauge::baselines {
 
 // The emptier of two drawn servers (Mitzenmacher 2001), by own requests out; no repeat.
-int choose(std::span<const int> ready, State& s) {
-  int a = ready[s.below(ready.size())];
-  int b = ready[s.below(ready.size())];
-  return s.servers[static_cast<std::size_t>(b)].in_flight < s.servers[static_cast<std::size_t>(a)].in_flight
-             ? b
-             : a;
+EndpointIndex choose(std::span<const EndpointIndex> ready, State& s) {
+  EndpointIndex a = ready[s.below(ready.size())];
+  EndpointIndex b = ready[s.below(ready.size())];
+  return s.servers[position_of(b)].in_flight < s.servers[position_of(a)].in_flight ? b : a;
 }
 const int most_repeats = 0;
 const Flaws flaws;
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -63,11 +63,13 @@
 
 class EndpointTable {
  public:
-  Endpoint& operator[](EndpointIndex i) { return all_[static_cast<std::size_t>(i)]; }
-  const Endpoint& operator[](EndpointIndex i) const { return all_[static_cast<std::size_t>(i)]; }
-  [[nodiscard]] bool knows(EndpointIndex i) const { return i >= 0 && i < static_cast<int>(all_.size()); }
+  Endpoint& operator[](EndpointIndex i) { return all_[position_of(i)]; }
+  const Endpoint& operator[](EndpointIndex i) const { return all_[position_of(i)]; }
+  [[nodiscard]] bool knows(EndpointIndex i) const {
+    return i >= EndpointIndex{0} && position_of(i) < all_.size();
+  }
   void add_up_to(EndpointIndex i) {
-    if (!knows(i)) all_.resize(static_cast<std::size_t>(i) + 1);
+    if (!knows(i)) all_.resize(position_of(i) + 1);
   }
 
   std::vector<EndpointIndex> listed;
--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -27,14 +27,14 @@
   if (candidates_.empty() || tier.unhealthy > (1 - panic_share) * (tier.ready - request.attempt_count))
     gather_all(request, tier.ready, now_ms);
   if (candidates_.empty()) return no_endpoint;
-  if (int i = restored_candidate(request, now_ms); i != no_endpoint) return i;
+  if (EndpointIndex i = restored_candidate(request, now_ms); i != no_endpoint) return i;
   if (parts_.affinity.applies_to(request)) {
     double target_ms = parts_.classes.of(request).settings.target_ms;
-    int i = parts_.affinity.pick(request, target_ms, candidates_, now_ms);
+    EndpointIndex i = parts_.affinity.pick(request, target_ms, candidates_, now_ms);
     bool full = limiter.full_by_reports(request, parts_.endpoints[i], now_ms);
     return limits && refuses(full) ? no_endpoint : i;
   }
-  if (int i = parts_.load.by_probes() ? least_probed(now_ms) : no_endpoint; i != no_endpoint) {
+  if (EndpointIndex i = parts_.load.by_probes() ? least_probed(now_ms) : no_endpoint; i != no_endpoint) {
     bool full = limiter.full_by_probe(request, parts_.endpoints[i], now_ms);
     return limits && refuses(full) ? no_endpoint : i;
   }
@@ -54,7 +54,7 @@
   double in_flight = 0;
   int proven = 0;
   bool lost = failure_is_lost(request);
-  for (int i : parts_.endpoints.listed) {
+  for (EndpointIndex i : parts_.endpoints.listed) {
     auto& endpoint = parts_.endpoints[i];
     if (!endpoint.takes_requests()) continue;
     ++tier.ready;
@@ -74,7 +74,7 @@
 
 void EndpointPicker::gather_all(const Request& request, int ready, double now_ms) {
   candidates_.clear();
-  for (int i : parts_.endpoints.listed)
+  for (EndpointIndex i : parts_.endpoints.listed)
     if (permitted(request, i, now_ms) && (!has_tried(request, i) || ready == 1)) candidates_.push_back(i);
 }
 
@@ -89,7 +89,7 @@
 
 EndpointIndex EndpointPicker::restored_candidate(const Request& request, double now_ms) const {
   bool waits = failure_is_lost(request);
-  for (int i : candidates_) {
+  for (EndpointIndex i : candidates_) {
     double restored_at_ms = parts_.endpoints[i].restored_at_ms;
     if (restored_at_ms > -never && (!waits || now_ms - restored_at_ms > restored_waits_ms)) return i;
   }
@@ -103,9 +103,10 @@
 }
 
 EndpointIndex EndpointPicker::least_probed(double now_ms) {
-  int least = no_endpoint, equal = 0;
+  EndpointIndex least = no_endpoint;
+  int equal = 0;
   double least_load = never;
-  for (int i : candidates_) {
+  for (EndpointIndex i : candidates_) {
     const auto& endpoint = parts_.endpoints[i];
     if (!parts_.load.probed_of_late(endpoint, now_ms) || endpoint.load.probed_load == never) continue;
     bool crosses = parts_.locality.crossing_costs() && parts_.locality.is_far(endpoint);
@@ -120,22 +121,24 @@
 EndpointIndex EndpointPicker::idle_or_lesser(double mean_in_flight, double now_ms) {
   auto& endpoints = parts_.endpoints;
   if (parts_.load.by_reports())
-    for (int i : candidates_) endpoints[i].load.expected_ms = parts_.load.response_ms(endpoints[i], now_ms);
-  auto held = [&](int i) {
+    for (EndpointIndex i : candidates_)
+      endpoints[i].load.expected_ms = parts_.load.response_ms(endpoints[i], now_ms);
+  auto held = [&](EndpointIndex i) {
     double own = endpoints[i].in_flight;
     return endpoints[i].unproven ? std::max(own, mean_in_flight) : own;
   };
   double idle = 0, all = 0;
-  int picked = no_endpoint;
-  for (int i : candidates_) {
+  EndpointIndex picked = no_endpoint;
+  for (EndpointIndex i : candidates_) {
     if (held(i) >= idle_below) continue;
     double w = weight(endpoints[i]);
     idle += w;
     if (parts_.random.uniform() * idle < w) picked = i;
   }
   if (picked != no_endpoint) return picked;
-  for (int i : candidates_) all += weight(endpoints[i]);
-  int a = draw(all), b = draw(all);
+  for (EndpointIndex i : candidates_) all += weight(endpoints[i]);
+  EndpointIndex a = draw(all);
+  EndpointIndex b = draw(all);
   return (held(b) + 1) * weight(endpoints[a]) < (held(a) + 1) * weight(endpoints[b]) ? b : a;
 }
 
@@ -147,7 +150,7 @@
 
 EndpointIndex EndpointPicker::draw(double all_weights) {
   double left = parts_.random.uniform() * all_weights;
-  for (int i : candidates_)
+  for (EndpointIndex i : candidates_)
     if ((left -= weight(parts_.endpoints[i])) <= 0) return i;
   return candidates_.back();
 }
--- a/src/policy/key_affinity.cpp
+++ b/src/policy/key_affinity.cpp
@@ -19,7 +19,7 @@
 void KeyAffinity::rank(std::uint64_t key, const std::vector<EndpointIndex>& candidates) {
   near_.clear();
   far_.clear();
-  for (int i : candidates) {
+  for (EndpointIndex i : candidates) {
     const auto& endpoint = endpoints_[i];
     std::uint64_t hash = mixed(key ^ mixed(endpoint.id + 1ull));
     double uniform = (static_cast<double>(hash >> 12) + 0.5) / 4503599627370496.0;  // 52 bits, never 0 or 1
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -6,7 +6,7 @@
 namespace meadowgauge {
 namespace {
 
-std::string ejection_name(EndpointIndex endpoint) { return "bench@" + std::to_string(endpoint); }
+std::string ejection_name(EndpointIndex endpoint) { return "bench@" + std::to_string(position_of(endpoint)); }
 
 // The names are stored: other builds read them.
 template <class Parts, class F>
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -31,7 +31,7 @@
   if (now_ms + 2 * probe_wait_ms() >= request.deadline_ms) return false;
   request.probed_for = request.attempt_count + 1;
   for (int n = 0; n < draws_per_probe * probes_each && decision.probe_count < probes_each; ++n) {
-    int i = listed[random_.below(listed.size())];
+    EndpointIndex i = listed[random_.below(listed.size())];
     auto end = decision.probes.begin() + decision.probe_count;
     bool chosen = std::find(decision.probes.begin(), end, i) != end;
     const auto& endpoint = endpoints_[i];
@@ -142,16 +142,16 @@
   if (!gossips_ || now_ms < gossip_at_ms_) return {};
   gossip_at_ms_ = now_ms + gossip_every_ms * (gossip_soonest + gossip_spread * random_.uniform());
   std::vector<EndpointIndex> fresh;
-  for (int i : endpoints_.listed)
+  for (EndpointIndex i : endpoints_.listed)
     if (now_ms - endpoints_[i].load.reported_at_ms <
         outliers_.report_lasts_ms(endpoints_[i], report_decay_ms))
       fresh.push_back(i);
   if (fresh.empty()) return {};
-  auto at = [this](int i) { return endpoints_[i].load.reported_at_ms; };
-  std::sort(fresh.begin(), fresh.end(), [&](int a, int b) { return at(a) > at(b); });
+  auto at = [this](EndpointIndex i) { return endpoints_[i].load.reported_at_ms; };
+  std::sort(fresh.begin(), fresh.end(), [&](EndpointIndex a, EndpointIndex b) { return at(a) > at(b); });
   fresh.resize(std::min(fresh.size(), max_gossip_endpoints));
   GossipMessage message;
-  for (int i : fresh) message.content.endpoints.push_back(report_on(endpoints_[i], now_ms));
+  for (EndpointIndex i : fresh) message.content.endpoints.push_back(report_on(endpoints_[i], now_ms));
   int other = static_cast<int>(random_.uniform() * (settings_.replicas - 1));
   message.to = other + (other >= settings_.own_number);
   return message;
@@ -160,7 +160,7 @@
 // Of a server that is not in the own list nothing is kept: hearsay lets nobody send.
 void LoadEstimator::gossip_received(const std::vector<EndpointReport>& reports, double now_ms) {
   for (const auto& report : reports) {
-    auto is_meant = [&](int i) { return endpoints_[i].id == report.id; };
+    auto is_meant = [&](EndpointIndex i) { return endpoints_[i].id == report.id; };
     auto it = std::find_if(endpoints_.listed.begin(), endpoints_.listed.end(), is_meant);
     if (it == endpoints_.listed.end()) continue;
     auto& endpoint = endpoints_[*it];
--- a/src/policy/locality_router.cpp
+++ b/src/policy/locality_router.cpp
@@ -29,7 +29,7 @@
 
 // Reports tell a second late of a zone with more traffic than servers; own requests tell at once.
 bool LocalityRouter::own_zone_filled(const std::vector<EndpointIndex>& candidates, double on_top) const {
-  return std::ranges::all_of(candidates, [&](int i) {
+  return std::ranges::all_of(candidates, [&](EndpointIndex i) {
     return is_far(endpoints_[i]) || endpoints_[i].in_flight >= filled_at_ + on_top;
   });
 }
@@ -49,7 +49,7 @@
   double stay = stay_probability();
   if (!own_zone_filled(candidates, 0) ||
       (stay > 0 && random_.uniform() < stay && !own_zone_filled(candidates, 1)))
-    std::erase_if(candidates, [this](int i) { return is_far(endpoints_[i]); });
+    std::erase_if(candidates, [this](EndpointIndex i) { return is_far(endpoints_[i]); });
 }
 
 // Where little comes the mean follows by the time: the few requests that cross told of other zones half a
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -37,7 +37,7 @@
 
 double OutlierDetector::peers_failure_share(EndpointIndex index, double now_ms) {
   double successes = 0, failures = peers_prior_failures;
-  for (int i : endpoints_.listed) {
+  for (EndpointIndex i : endpoints_.listed) {
     if (i == index) continue;
     decay(endpoints_[i], now_ms);
     successes += endpoints_[i].outlier.successes;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -24,14 +24,14 @@
     return hedge(request, now_ms);
   }
   if (Decision decision; load.ask_probes(request, decision, now_ms)) return decision;
-  int index = picker.pick(request, now_ms);
+  EndpointIndex index = picker.pick(request, now_ms);
   return index != no_endpoint ? send(request, index, now_ms) : finish(request, picker.refusal(), now_ms);
 }
 
 // A second copy beside the attempt in flight, where there may be one and it is time for it.
 Decision Policy::Core::hedge(Request& request, double now_ms) {
   if (!retries.may_copy(request)) return {};
-  int index = retries.wants_copy(request, now_ms) ? picker.pick(request, now_ms) : no_endpoint;
+  EndpointIndex index = retries.wants_copy(request, now_ms) ? picker.pick(request, now_ms) : no_endpoint;
   if (index == no_endpoint) return {.kind = Decision::wait};
   retries.spend_copy(request);
   return send(request, index, now_ms);
@@ -99,7 +99,7 @@
   auto refusal = retries.budget_spent() ? RejectionReason::retry_budget : RejectionReason::throttle;
   if (unreached || retries.may_retry(outcome, now_ms)) {
     if (load.ask_probes(request, decision, now_ms)) return decision;
-    if (int index = picker.pick(request, now_ms); index != no_endpoint) {
+    if (EndpointIndex index = picker.pick(request, now_ms); index != no_endpoint) {
       if (!unreached) retries.spend_retry();
       return send(request, index, now_ms);
     }
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -84,13 +84,13 @@
   if (kind != EndpointListUpdate::cached) subscription.list_received();
   auto& listed = endpoints.listed;
   if (kind != EndpointListUpdate::delta)
-    for (int i : listed) endpoints[i].state = EndpointState::gone;
+    for (EndpointIndex i : listed) endpoints[i].state = EndpointState::gone;
   for (const auto& entry : entries)
-    if (entry.endpoint >= 0) update_endpoint(entry, now_ms);
+    if (entry.endpoint >= EndpointIndex{0}) update_endpoint(entry, now_ms);
   double sum = 0;
-  for (int i : listed) sum += endpoints[i].weight;
+  for (EndpointIndex i : listed) sum += endpoints[i].weight;
   endpoints.mean_weight = listed.empty() ? 1 : sum / static_cast<double>(listed.size());
-  std::erase_if(listed, [this](int i) { return endpoints[i].state == EndpointState::gone; });
+  std::erase_if(listed, [this](EndpointIndex i) { return endpoints[i].state == EndpointState::gone; });
 }
 
 void Policy::Core::update_endpoint(const EndpointEntry& entry, double now_ms) {
@@ -151,7 +151,7 @@
 
 int Policy::Core::unavailable(double now_ms, std::vector<EndpointIndex>* unhealthy) const {
   int count = 0;
-  for (int i : endpoints.listed) {
+  for (EndpointIndex i : endpoints.listed) {
     const auto& endpoint = endpoints[i];
     bool bad = endpoint.state == EndpointState::ready &&
                (outliers.ejected(endpoint, now_ms) || outliers.silent(endpoint, now_ms));
@@ -189,7 +189,7 @@
   LearnedState state;
   if (!limiter.knows_tier()) return state;
   save(learned_parts(), state);
-  for (int i : endpoints.listed)
+  for (EndpointIndex i : endpoints.listed)
     if (double until = outliers.ejected_for_successor(endpoints[i], now_ms); until > 0)
       save_ejection(i, until, state);
   return state;
@@ -204,7 +204,7 @@
   outliers.restore_slow_end_ms(parts.slow_end_ms);
   for (std::size_t i = 0; i < classes.all.size(); ++i)
     classes.all[i].mean_log_ms = parts.class_mean_log_ms[i];
-  for (int i : endpoints.listed) {
+  for (EndpointIndex i : endpoints.listed) {
     endpoints[i].unproven = false;
     auto until = saved_ejection(state, i);
     if (until && *until > now_ms) outliers.restore_ejection(endpoints[i], *until, now_ms);
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -36,7 +36,7 @@
 }
 
 void SlowStart::find_warmed_up(double now_ms) {
-  any_warmed_up_ = std::ranges::any_of(endpoints_.listed, [&](int i) {
+  any_warmed_up_ = std::ranges::any_of(endpoints_.listed, [&](EndpointIndex i) {
     return endpoints_[i].takes_requests() && !warming_up(endpoints_[i], now_ms);
   });
 }
@@ -72,7 +72,7 @@
   double rates = 0;
   int warmed_up = 0;
   double left = std::exp(-interval_ms / rate_decay_ms);
-  for (int i : endpoints_.listed) {
+  for (EndpointIndex i : endpoints_.listed) {
     auto& endpoint = endpoints_[i];
     endpoint.slow_start.success_rate *= left;
     if (!endpoint.takes_requests() || warming_up(endpoint, now_ms)) continue;
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -18,9 +18,14 @@
 inline constexpr int max_attempts = 8;  // of one request that are kept
 inline constexpr int max_probes = 8;    // asked for by one decision
 
-// A small number that the caller gives to an endpoint, the same for the endpoint's life.
-using EndpointIndex = int;
-inline constexpr EndpointIndex no_endpoint = -1;
+// A small number that the caller gives to an endpoint, the same for the endpoint's life. Indices are dense,
+// so that per-endpoint state can be kept in vectors (see position_of()).
+enum class EndpointIndex : std::int32_t {};
+inline constexpr EndpointIndex no_endpoint{-1};
+
+// The position of an endpoint's entry in a vector with one entry per index. `index` must not be
+// `no_endpoint`.
+constexpr std::size_t position_of(EndpointIndex index) { return static_cast<std::size_t>(index); }
 
 // Setting keys to values, as handed over at the start.
 using Settings = std::map<std::string, std::string, std::less<>>;
@@ -44,7 +49,7 @@
 
 // One line of the endpoint list.
 struct EndpointEntry {
-  EndpointIndex endpoint = 0;
+  EndpointIndex endpoint{0};
   int zone = 0;
   int server_kind = 0;
   int cell = 0;
--- a/src/proxy/endpoint/directory.cpp
+++ b/src/proxy/endpoint/directory.cpp
@@ -63,9 +63,9 @@
 void EndpointDirectory::apply(const EndpointListEntry& listed, std::vector<bool>& seen) {
   bool left = listed.health == EndpointListEntry::Health::left;
   EndpointIndex endpoint = left ? upstreams_.endpoints().find(listed.name) : upstreams_.index_of(listed.name);
-  if (endpoint < 0) return;
+  if (endpoint == no_endpoint) return;
   if (has_departed(listed, endpoint)) return depart(endpoint);
-  auto index = static_cast<std::size_t>(endpoint);
+  auto index = position_of(endpoint);
   if (index >= seen.size()) seen.resize(index + 1);
   seen[index] = true;
   bool active = listed.health == EndpointListEntry::Health::active;
@@ -77,7 +77,7 @@
                       .zone = position_in(settings_.zones, listed.zone),
                       .server_kind = position_in(settings_.server_kinds, listed.kind),
                       // Without one it shares its block with nobody.
-                      .cell = listed.block >= 0 ? listed.block : -1 - endpoint,
+                      .cell = listed.block >= 0 ? listed.block : -1 - static_cast<int>(endpoint),
                       .state = active ? EndpointState::ready : EndpointState::draining,
                       .weight = listed.weight,
                       .up_since = listed.started_ms,
@@ -90,7 +90,7 @@
 bool EndpointDirectory::has_departed(const EndpointListEntry& listed, EndpointIndex endpoint) {
   if (listed.health == EndpointListEntry::Health::left) return true;
   EndpointIndex other = upstreams_.endpoints().endpoint_at(listed.dial);
-  if (other < 0 || other == endpoint) return false;
+  if (other == no_endpoint || other == endpoint) return false;
   double other_started_ms = upstreams_.endpoints().started_at_ms(other);
   if (other_started_ms < listed.started_ms) depart(other);
   return other_started_ms > listed.started_ms;
@@ -102,7 +102,7 @@
 }
 
 void EndpointDirectory::set_server_id(EndpointIndex endpoint, const std::string& name) {
-  auto index = static_cast<std::size_t>(endpoint);
+  auto index = position_of(endpoint);
   if (server_ids_.size() <= index) server_ids_.resize(index + 1);
   server_ids_[index] = static_cast<std::uint32_t>(protocol::stable_hash(name)) & server_id_mask;
 }
@@ -110,7 +110,7 @@
 void EndpointDirectory::set_manual_drains(const std::set<std::string>& names, double now_ms) {
   auto process_of = [this](const std::string& name) -> std::optional<ManualDrains::Process> {
     EndpointIndex endpoint = upstreams_.endpoints().find(name);
-    if (endpoint < 0) return {};
+    if (endpoint == no_endpoint) return {};
     return ManualDrains::Process{.address = upstreams_.endpoints().address(endpoint),
                                  .started_ms = upstreams_.endpoints().started_at_ms(endpoint)};
   };
@@ -118,7 +118,7 @@
     log_(Level::info,
          change.name + (change.drained ? ": drained by an operator" : ": no longer drained by an operator"));
     EndpointIndex endpoint = upstreams_.endpoints().find(change.name);
-    if (endpoint < 0) continue;
+    if (endpoint == no_endpoint) continue;
     upstreams_.set_manual_drain(endpoint, change.drained);
     policy_.set_manual_drain(endpoint, change.drained, now_ms);
   }
@@ -130,7 +130,7 @@
 
 bool EndpointDirectory::is_listed(const std::string& name) const {
   EndpointIndex endpoint = upstreams_.endpoints().find(name);
-  return endpoint >= 0 && upstreams_.endpoints().is_listed(endpoint);
+  return endpoint != no_endpoint && upstreams_.endpoints().is_listed(endpoint);
 }
 
 std::vector<std::uint32_t> EndpointDirectory::listed_server_ids() const {
--- a/src/proxy/endpoint/directory.hpp
+++ b/src/proxy/endpoint/directory.hpp
@@ -41,7 +41,7 @@
   [[nodiscard]] bool is_listed(const std::string& name) const;
   // A server's number, the same at every balancer.
   [[nodiscard]] std::uint32_t server_id(EndpointIndex endpoint) const {
-    return server_ids_[static_cast<std::size_t>(endpoint)];
+    return server_ids_[position_of(endpoint)];
   }
   // Of the listed servers that get requests.
   [[nodiscard]] std::vector<std::uint32_t> listed_server_ids() const;
--- a/src/proxy/endpoint/learned_state_names.cpp
+++ b/src/proxy/endpoint/learned_state_names.cpp
@@ -11,7 +11,8 @@
     if (at == std::string::npos)
       all[key] = value;
     else
-      all[key.substr(0, at + 1) + endpoints.name(std::stoi(key.substr(at + 1)))] = value;
+      all[key.substr(0, at + 1) + endpoints.name(static_cast<EndpointIndex>(std::stoi(key.substr(at + 1))))] =
+          value;
   }
   return all;
 }
@@ -25,7 +26,7 @@
       continue;
     }
     EndpointIndex endpoint = endpoints.find(key.substr(at + 1));
-    if (endpoint >= 0) all[key.substr(0, at + 1) + std::to_string(endpoint)] = value;
+    if (endpoint != no_endpoint) all[key.substr(0, at + 1) + std::to_string(position_of(endpoint))] = value;
   }
   return all;
 }
--- a/src/proxy/endpoint/slots.hpp
+++ b/src/proxy/endpoint/slots.hpp
@@ -70,10 +70,8 @@
     bool active = true;  // as listed
     bool manually_drained = false;
   };
-  [[nodiscard]] Slot& slot(EndpointIndex endpoint) { return slots_[static_cast<std::size_t>(endpoint)]; }
-  [[nodiscard]] const Slot& slot(EndpointIndex endpoint) const {
-    return slots_[static_cast<std::size_t>(endpoint)];
-  }
+  [[nodiscard]] Slot& slot(EndpointIndex endpoint) { return slots_[position_of(endpoint)]; }
+  [[nodiscard]] const Slot& slot(EndpointIndex endpoint) const { return slots_[position_of(endpoint)]; }
   void release_address(EndpointIndex endpoint);
 
   std::vector<Slot> slots_;
--- a/src/proxy/request/forwarder.cpp
+++ b/src/proxy/request/forwarder.cpp
@@ -241,11 +241,11 @@
   if (event.attempt & probe_bit)
     return policy_.probe_ended(event.endpoint, event.outcome, now_ms_ - event.started_at_ms, report, now_ms_);
   bool succeeded = event.outcome == Outcome::succeeded;
-  if (request_filter_ && succeeded && event.endpoint >= 0)
+  if (request_filter_ && succeeded && event.endpoint != no_endpoint)
     request_filter_->served(endpoints_.server_id(event.endpoint));
   auto number = request_number_of(event.attempt);
   int attempt = attempt_of(event.attempt);
-  if (!succeeded && event.endpoint >= 0) log_failed_attempt(number, attempt, event);
+  if (!succeeded && event.endpoint != no_endpoint) log_failed_attempt(number, attempt, event);
   bool open = requests_.is_open(number);
   bool streaming = false;
   if (auto it = in_flight_.find(number); it != in_flight_.end()) {
--- a/src/proxy/upstream/connection_pool.cpp
+++ b/src/proxy/upstream/connection_pool.cpp
@@ -26,7 +26,7 @@
       idle_timeout_(settings.idle_timeout_ms) {}
 
 void ConnectionPool::reset_endpoint(EndpointIndex endpoint) {
-  auto index = static_cast<std::size_t>(endpoint);
+  auto index = position_of(endpoint);
   if (index >= by_endpoint_.size()) by_endpoint_.resize(index + 1);
   by_endpoint_[index] = {};
 }
--- a/src/proxy/upstream/connection_pool.hpp
+++ b/src/proxy/upstream/connection_pool.hpp
@@ -110,10 +110,10 @@
     std::vector<IdleConnection> idle;  // the longest idle first
   };
   [[nodiscard]] EndpointCounters& counters(EndpointIndex endpoint) {
-    return by_endpoint_[static_cast<std::size_t>(endpoint)];
+    return by_endpoint_[position_of(endpoint)];
   }
   [[nodiscard]] const EndpointCounters& counters(EndpointIndex endpoint) const {
-    return by_endpoint_[static_cast<std::size_t>(endpoint)];
+    return by_endpoint_[position_of(endpoint)];
   }
   void set_due(UpstreamConnection& connection, double at_ms);
   [[nodiscard]] std::string broken_invariant(EndpointIndex endpoint) const;
--- a/src/proxy/upstream/upstreams.hpp
+++ b/src/proxy/upstream/upstreams.hpp
@@ -114,7 +114,7 @@
   void fail_next_waiting(EndpointIndex endpoint);
   void stop_attempts(EndpointIndex endpoint);
   [[nodiscard]] std::deque<AttemptId>& waiting(EndpointIndex endpoint) {
-    return waiting_[static_cast<std::size_t>(endpoint)];
+    return waiting_[position_of(endpoint)];
   }
 
   // Requests and responses (upstream_exchange.cpp).
--- a/src/simulator_adapter/instance.cpp
+++ b/src/simulator_adapter/instance.cpp
@@ -27,7 +27,7 @@
 
 void Instance::start_attempt(proxy::RequestNumber number, int, EndpointIndex endpoint,
                              const AttemptTimeout& timeout) {
-  reply_.forward_request(to_integer(number), upstreams_[endpoint], timeout.limit_ms);
+  reply_.forward_request(to_integer(number), upstreams_[position_of(endpoint)], timeout.limit_ms);
 }
 void Instance::reject(proxy::RequestNumber number, double retry_after_ms, RejectionReason) {
   reply_.reject_request(to_integer(number), retry_after_ms);
--- a/src/simulator_adapter/instance.hpp
+++ b/src/simulator_adapter/instance.hpp
@@ -41,7 +41,7 @@
   void reject(proxy::RequestNumber number, double retry_after_ms, RejectionReason) override;
   void fail(proxy::RequestNumber number, RejectionReason) override;
   void cancel_attempt(proxy::RequestNumber number, int attempt) override;
-  void probe(EndpointIndex endpoint) override { reply_.probe(upstreams_[endpoint]); }
+  void probe(EndpointIndex endpoint) override { reply_.probe(upstreams_[position_of(endpoint)]); }
 
   void run_periodic_actions(double now_ms);
   // The module's index of a simulated upstream; given at its first mention, and kept.
--- a/tests/broken/broken.cpp
+++ b/tests/broken/broken.cpp
@@ -7,14 +7,14 @@
 
 namespace meadowgauge::baselines {
 
-int choose(std::span<const int> ready, State& s) {
+EndpointIndex choose(std::span<const EndpointIndex> ready, State& s) {
 #ifdef BROKEN_CRASH
   if (++s.turn > 150) std::_Exit(0);
 #endif
 #ifdef BROKEN_SLOW_START
   // All requests go to the server that started last.
-  return *std::max_element(ready.begin(), ready.end(), [&](int a, int b) {
-    return s.servers[static_cast<std::size_t>(a)].up_since < s.servers[static_cast<std::size_t>(b)].up_since;
+  return *std::max_element(ready.begin(), ready.end(), [&](EndpointIndex a, EndpointIndex b) {
+    return s.servers[position_of(a)].up_since < s.servers[position_of(b)].up_since;
   });
 #else
   return ready[s.below(ready.size())];
--- a/tests/hot_restart/manual_drain_test.cpp
+++ b/tests/hot_restart/manual_drain_test.cpp
@@ -55,10 +55,10 @@
 // Nothing is sent to a drained server, by whatever decision.
 TEST(ManualDrain, SendsNothingWhateverIsListedUntilItEnds) {
   PolicyHarness w({}, 2, 5);
-  w.policy.set_manual_drain(0, true, w.now_ms);
+  w.policy.set_manual_drain(EndpointIndex{0}, true, w.now_ms);
   for (int i = 0; i < 20; ++i) w.end(w.submit(0, 5000), 0, i % 2 ? Outcome::succeeded : Outcome::timeout);
   EXPECT_EQ(w.sends[0], 0);
-  for (auto& e : w.entries) e.manually_drained = e.endpoint == 0;
+  for (auto& e : w.entries) e.manually_drained = e.endpoint == EndpointIndex{0};
   w.entries[0].up_since = w.now_ms;
   w.update_endpoints(EndpointListUpdate::full, w.entries);
   w.entries[1].state = EndpointState::draining;
@@ -69,7 +69,7 @@
   EXPECT_EQ(w.policy.unavailable_endpoints(w.now_ms), 1);
   w.entries[1].state = EndpointState::ready;
   w.entries[0].manually_drained = false;
-  w.policy.set_manual_drain(0, false, w.now_ms);
+  w.policy.set_manual_drain(EndpointIndex{0}, false, w.now_ms);
   w.update_endpoints(EndpointListUpdate::full, w.entries);
   w.submit(0, 5000);
   EXPECT_EQ(w.sends[0], 1) << "the next request tries it";
@@ -78,9 +78,9 @@
 
 TEST(ManualDrain, IsFollowedBySlowStartWithoutARestart) {
   PolicyHarness w({}, 2, 5);
-  w.policy.set_manual_drain(0, true, w.now_ms);
+  w.policy.set_manual_drain(EndpointIndex{0}, true, w.now_ms);
   w.pass(3000);
-  w.policy.set_manual_drain(0, false, w.now_ms);
+  w.policy.set_manual_drain(EndpointIndex{0}, false, w.now_ms);
   for (int i = 0; i < 10; ++i) w.submit(0, 5000);
   EXPECT_LE(w.sends[0], 2);
   EXPECT_GE(w.sends[0], 1);
--- a/tests/policy/class_mix.hpp
+++ b/tests/policy/class_mix.hpp
@@ -80,7 +80,8 @@
     served_.asked.resize(mix.classes.size());
     std::vector<EndpointEntry> list;
     for (int i = 0; i < mix.servers; ++i)
-      list.push_back({.endpoint = i, .zone = i % mix.zones, .cell = i / 4, .weight = 1, .id = 1000u + i});
+      list.push_back(
+          {.endpoint = EndpointIndex{i}, .zone = i % mix.zones, .cell = i / 4, .weight = 1, .id = 1000u + i});
     std::normal_distribution<double> normal;
     double mean_work = 0, shares = 0, parts = 0;
     for (const auto& c : mix.classes) mean_work += c.share * c.work_ms, shares += c.share;
@@ -205,7 +206,8 @@
       if (out[s] == out[pick] && uniform() * ++equal < 1) pick = s;
     }
     ++out[pick];
-    v.attempts[v.attempt_count++] = {.endpoint = pick, .sent_at_ms = now_ms_, .in_flight = true};
+    v.attempts[v.attempt_count++] = {
+        .endpoint = EndpointIndex{pick}, .sent_at_ms = now_ms_, .in_flight = true};
     start_job(pick, {id, 0, held_[id].work});
     add(v.deadline_ms, Event::limit, id, 0);
   }
@@ -217,7 +219,7 @@
       if (p.ask_again_ms != never) add(now_ms_ + p.ask_again_ms, Event::asks, id);
       if (a.kind == Decision::attempt) {
         add(now_ms_ + p.limit_ms, Event::limit, id, h.v.attempt_count - 1);
-        start_job(a.endpoint, {id, h.v.attempt_count - 1, h.work});
+        start_job(static_cast<int>(a.endpoint), {id, h.v.attempt_count - 1, h.work});
       }
     } else if (a.kind == Decision::reject && counts(h.v)) {
       ++served_.rejected[h.v.request_class];
@@ -260,7 +262,7 @@
                   h.v, {.attempt = number, .outcome = outcome, .request_closed = answers, .load_report = {}},
                   now_ms_));
     f.in_flight = false;
-    --own_out_[h.balancer][f.endpoint];
+    --own_out_[h.balancer][position_of(f.endpoint)];
   }
 
   Mix mix_;
--- a/tests/policy/decision_digest/generated_day.hpp
+++ b/tests/policy/decision_digest/generated_day.hpp
@@ -28,7 +28,7 @@
         policy_(digest_case.settings, seed, now_ms_) {
     for (int i = 0; i < digest_case.servers; ++i) {
       servers_.push_back({.speed = 0.5 + rng_.uniform()});
-      entries_.push_back({.endpoint = i,
+      entries_.push_back({.endpoint = EndpointIndex{i},
                           .zone = i % 3,
                           .server_kind = rng_.below(3),
                           .cell = i / 2,
@@ -80,13 +80,13 @@
     auto& open = open_requests_[id];
     auto& v = open.request;
     for (int n = 0; n < a.probe_count; ++n)
-      probes_.emplace_back(now_ms_ + 2 + 6 * rng_.uniform(), a.probes[n]);
+      probes_.emplace_back(now_ms_ + 2 + 6 * rng_.uniform(), static_cast<int>(a.probes[n]));
     if (a.kind == Decision::attempt || a.kind == Decision::wait) {
       auto p = policy_.attempt_timeout(v, now_ms_);
       digest_.add(p.limit_ms);
       digest_.add(p.ask_again_ms);
       open.ask_again_at_ms = p.ask_again_ms == never ? never : now_ms_ + p.ask_again_ms;
-      if (a.kind == Decision::attempt) start(open, a.endpoint, p.limit_ms);
+      if (a.kind == Decision::attempt) start(open, static_cast<int>(a.endpoint), p.limit_ms);
     }
     for (int n = 0; n < max_attempts; ++n)
       if (a.cancel >> n & 1) end(id, n, Outcome::cancelled);
@@ -135,7 +135,7 @@
     auto it = open_requests_.find(id);
     if (it == open_requests_.end() || it->second.pending.erase(number) == 0) return;
     auto& v = it->second.request;
-    int server = v.attempts[static_cast<std::size_t>(number)].endpoint;
+    int server = static_cast<int>(v.attempts[static_cast<std::size_t>(number)].endpoint);
     --servers_[static_cast<std::size_t>(server)].in_flight;
     bool closes = outcome == Outcome::succeeded && !v.answered;
     bool torn = v.streaming && outcome != Outcome::succeeded;
@@ -211,7 +211,7 @@
     auto held = static_cast<float>(s.in_flight);
     bool answers = s.health != Health::silent && s.health != Health::unreachable;
     double took = 1 + 4 * rng_.uniform();
-    policy_.probe_ended(server, answers ? Outcome::succeeded : Outcome::timeout, took,
+    policy_.probe_ended(EndpointIndex{server}, answers ? Outcome::succeeded : Outcome::timeout, took,
                         {.count = 2, .values = {held / 4, held}}, now_ms_);
   }
 
@@ -286,7 +286,7 @@
     int i = rng_.below(case_.servers + 1);  // the last of them has never been listed
     bool out = rng_.chance(0.4);
     if (i < case_.servers) entries_[static_cast<std::size_t>(i)].manually_drained = out;
-    policy_.set_manual_drain(i, out, now_ms_);
+    policy_.set_manual_drain(EndpointIndex{i}, out, now_ms_);
   }
 
   void gossip_arrives() {
@@ -340,19 +340,20 @@
     }
     if (c.subscribe && rng_.chance(0.6))
       policy_.update_endpoints(EndpointListUpdate::full, entries_, now_ms_);
-    std::vector<int> unhealthy;
+    std::vector<EndpointIndex> unhealthy;
     digest_.add(policy_.unavailable_endpoints(now_ms_, &unhealthy));
-    for (int i : unhealthy) digest_.add(i);
+    for (EndpointIndex i : unhealthy) digest_.add(static_cast<int>(i));
     digest_.add(policy_.drop_probability(now_ms_));
   }
 
   // --- The digest -----------------------------------------------------------------------------------------
   void digest_decision(const Decision& a) {
     digest_.add(static_cast<int>(a.kind));
-    digest_.add(a.endpoint);
+    digest_.add(static_cast<int>(a.endpoint));
     digest_.add(a.retry_after_ms);
     digest_.add(static_cast<std::uint64_t>(a.cancel));
-    for (int n = 0; n < a.probe_count; ++n) digest_.add(a.probes[static_cast<std::size_t>(n)]);
+    for (int n = 0; n < a.probe_count; ++n)
+      digest_.add(static_cast<int>(a.probes[static_cast<std::size_t>(n)]));
     digest_.add(static_cast<int>(a.reason));
   }
 
--- a/tests/policy/endpoint_picker_test.cpp
+++ b/tests/policy/endpoint_picker_test.cpp
@@ -29,14 +29,14 @@
   PolicyHarness w({}, 2, 5);
   w.entries[0].weight = 3;
   w.update_endpoints(EndpointListUpdate::full, w.entries);
-  w.stream(0, 20, 8000, [](EndpointIndex endpoint) { return endpoint == 0 ? 5.0 : 15.0; });
+  w.stream(0, 20, 8000, [](int endpoint) { return endpoint == 0 ? 5.0 : 15.0; });
   EXPECT_GT(w.sends[0], 2 * w.sends[1]);
 }
 
 // One slow server used up the concurrency of all tiers before it (incident ie63fa9).
 TEST(EndpointPicker, DrawsSlowServersLess) {
   PolicyHarness w({}, 6, 5);
-  w.stream(0, 15, 8000, [](EndpointIndex endpoint) { return endpoint == 0 ? 900.0 : 40.0; });
+  w.stream(0, 15, 8000, [](int endpoint) { return endpoint == 0 ? 900.0 : 40.0; });
   EXPECT_LT(w.sends[0], w.sends[1] / 4);
 }
 
@@ -44,9 +44,9 @@
 // (hobart-noms-later, a burst).
 TEST(EndpointPicker, DrawsSlowKindsLess) {
   PolicyHarness w({}, 100, 5);
-  for (auto& e : w.entries) e.server_kind = e.endpoint < 50 ? 1 : 0;
+  for (auto& e : w.entries) e.server_kind = number_of(e.endpoint) < 50 ? 1 : 0;
   w.update_endpoints(EndpointListUpdate::full, w.entries);
-  w.stream(0, 50, 30000, [](EndpointIndex endpoint) { return endpoint < 50 ? 600.0 : 60.0; });
+  w.stream(0, 50, 30000, [](int endpoint) { return endpoint < 50 ? 600.0 : 60.0; });
   EXPECT_GT(sum_of(w.sends, 50, 100), 3 * sum_of(w.sends, 0, 50));
 }
 
--- a/tests/policy/key_affinity_test.cpp
+++ b/tests/policy/key_affinity_test.cpp
@@ -12,7 +12,7 @@
   auto server = [](std::uint64_t key, bool backwards) {
     PolicyHarness w({}, 0, backwards ? 5 : 6, depth_reported);
     for (int i = 0; i < 30; ++i)
-      w.entries.push_back({.endpoint = i, .weight = 1, .id = 500u + (backwards ? 29 - i : i)});
+      w.entries.push_back({.endpoint = EndpointIndex{i}, .weight = 1, .id = 500u + (backwards ? 29 - i : i)});
     w.update_endpoints(EndpointListUpdate::full, w.entries);
     // Some requests first, so that a single one is no popular key.
     for (std::uint64_t k = 1; k <= 60; ++k) {
--- a/tests/policy/load_estimator_test.cpp
+++ b/tests/policy/load_estimator_test.cpp
@@ -13,7 +13,7 @@
 // quiet: 6 in 100 rejected, 6 late, at a quarter of the load).
 TEST(Probes, SendEachRequestToTheLeastOfThoseProbed) {
   PolicyHarness w({}, 20, 5, probes_only);
-  w.probe_of = [](EndpointIndex endpoint) { return LoadReport{2, {endpoint < 15 ? 3.0F : 0.0F, 0}}; };
+  w.probe_of = [](int endpoint) { return LoadReport{2, {endpoint < 15 ? 3.0F : 0.0F, 0}}; };
   w.stream(0, 200, 20000, [](int) { return 60.0; });
   EXPECT_GT(sum_of(w.sends, 15, 20), 2 * sum_of(w.sends, 0, 15));
   EXPECT_EQ(sum_of(w.probes, 0, 20), 5 * sum_of(w.sends, 0, 20));
@@ -61,7 +61,7 @@
 // silent server a request at a time. Only gossip of endpoints of its own list counts, and damaged messages
 // change nothing.
 TEST(Gossip, ChangesThePicksOfOthersAndNothingElse) {
-  auto sends_after_gossip = [](EndpointIndex endpoint, int voices, auto spoil) {
+  auto sends_after_gossip = [](int endpoint, int voices, auto spoil) {
     PolicyHarness a({}, 30, 5, depth_reported), b({}, 30, 6, depth_reported);
     a.load_report_of = [](int) { return LoadReport{2, {80, 0}}; };
     for (int i = 0; i < voices; ++i) {
@@ -69,7 +69,7 @@
       for (; tries < 400; ++tries) {  // requests with other keys until one is sent to that server
         int id = a.submit(0, 5000, 0, 7000 + 400 * i + tries);
         bool met = a.requests.contains(id) && a.requests.at(id).v.attempt_count > 0 &&
-                   a.requests.at(id).v.attempts[0].endpoint == endpoint;
+                   a.requests.at(id).v.attempts[0].endpoint == EndpointIndex{endpoint};
         a.end(id, 0, met ? Outcome::reset : Outcome::succeeded);
         if (met) break;
       }
--- a/tests/policy/locality_router_test.cpp
+++ b/tests/policy/locality_router_test.cpp
@@ -32,9 +32,7 @@
                    {"zone", "0"},
                    {"report.how", "inline"},
                    {"report.columns", "err_ps,load_share"}});
-  w.load_report_of = [](EndpointIndex endpoint) {
-    return LoadReport{2, {0, endpoint % 2 == 0 ? 0.9F : 0.2F}};
-  };
+  w.load_report_of = [](int endpoint) { return LoadReport{2, {0, endpoint % 2 == 0 ? 0.9F : 0.2F}}; };
   w.stream(0, 60, 30000, [](int) { return 100.0; });
   EXPECT_GT(w.sends[1] + w.sends[3] + w.sends[5] + w.sends[7], 100);
 }
@@ -54,13 +52,11 @@
                      {"report.how", "inline"},
                      {"report.columns", "err_ps,load_share"}});
     float near = 0.3F, far = 0.2F;
-    w.load_report_of = [&](EndpointIndex endpoint) {
-      return LoadReport{2, {0, endpoint % 2 == 0 ? near : far}};
-    };
+    w.load_report_of = [&](int endpoint) { return LoadReport{2, {0, endpoint % 2 == 0 ? near : far}}; };
     w.stream(1, every, 20000, [](int) { return 10.0; });
     auto crossed = [&] {
       int sum = 0;
-      for (EndpointIndex endpoint = 1; endpoint < 12; endpoint += 2) sum += w.sends[endpoint];
+      for (int endpoint = 1; endpoint < 12; endpoint += 2) sum += w.sends[endpoint];
       return sum;
     };
     int before = crossed();
@@ -84,9 +80,7 @@
                      {"replicas_of_me", replicas},
                      {"report.how", "inline"},
                      {"report.columns", "err_ps,load_share"}});
-    w.load_report_of = [&](EndpointIndex endpoint) {
-      return LoadReport{2, {0, endpoint % 2 == 0 ? near : far}};
-    };
+    w.load_report_of = [&](int endpoint) { return LoadReport{2, {0, endpoint % 2 == 0 ? near : far}}; };
     w.stream(1, 50, 15000, [](int) { return 10.0; });
     int sum = 0;
     for (int round = 0; round < 20; ++round) {
@@ -94,8 +88,7 @@
       auto before = w.sends;
       std::vector<int> ids;
       for (int i = 0; i < 8; ++i) ids.push_back(w.submit(1, 5000));
-      for (EndpointIndex endpoint = 1; endpoint < 8; endpoint += 2)
-        sum += w.sends[endpoint] - before[endpoint];
+      for (int endpoint = 1; endpoint < 8; endpoint += 2) sum += w.sends[endpoint] - before[endpoint];
       for (int id : ids) w.end(id, 0, Outcome::succeeded);
     }
     return sum;
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -11,9 +11,9 @@
   PolicyHarness w({}, 5, 3);
   for (int i = 0; i < 400; ++i) {
     int id = w.submit(1, 5000);
-    for (EndpointIndex endpoint = 0; endpoint < 5; ++endpoint)
+    for (int endpoint = 0; endpoint < 5; ++endpoint)
       if (auto it = w.requests.find(id);
-          it != w.requests.end() && it->second.v.attempts[0].endpoint == endpoint)
+          it != w.requests.end() && it->second.v.attempts[0].endpoint == EndpointIndex{endpoint})
         w.end(id, 0, endpoint == 0 ? Outcome::error : Outcome::succeeded);
     w.pass(10);
   }
@@ -28,7 +28,8 @@
     for (int i = 0; i < rounds; ++i, w.pass(10)) {
       int id = w.submit(request_class, 5000);
       if (auto it = w.requests.find(id); it != w.requests.end())
-        w.end(id, 0, it->second.v.attempts[0].endpoint == 0 ? Outcome::error : Outcome::succeeded);
+        w.end(id, 0,
+              it->second.v.attempts[0].endpoint == EndpointIndex{0} ? Outcome::error : Outcome::succeeded);
     }
   };
   round(1, 100);  // by now server 0 is ejected, for 1.2 s at most
@@ -64,7 +65,8 @@
       for (int i = 0; i < n; ++i, w.pass(20)) {
         int id = w.submit(1, 5000);
         if (auto it = w.requests.find(id); it != w.requests.end())
-          w.end(id, 0, it->second.v.attempts[0].endpoint == 0 ? Outcome::error : Outcome::succeeded);
+          w.end(id, 0,
+                it->second.v.attempts[0].endpoint == EndpointIndex{0} ? Outcome::error : Outcome::succeeded);
       }
     };
     rounds(300);
@@ -79,7 +81,7 @@
 
 TEST(OutlierDetector, SilentServerGetsNothingNewAndItsRequestsAreCopied) {
   PolicyHarness w({}, 4, 5);
-  w.stream(0, 20, 4000, [](EndpointIndex endpoint) { return endpoint == 0 ? never : 40.0; });
+  w.stream(0, 20, 4000, [](int endpoint) { return endpoint == 0 ? never : 40.0; });
   EXPECT_LE(w.sends[0], 4);
   for (const auto& [id, h] : w.requests)
     EXPECT_LT(w.now_ms - h.v.arrived_ms, 3000);  // none was left waiting there
@@ -89,8 +91,8 @@
 // flight there, the sooner it is distinguished from a slow one.
 TEST(OutlierDetector, DetectsSilenceSoonerTheMoreIsInFlight) {
   PolicyHarness w({}, 4, 5);
-  auto usual = [](EndpointIndex endpoint) { return endpoint == 3 ? 1200.0 : 300.0; };
-  auto silent = [&](EndpointIndex endpoint) { return endpoint == 0 ? never : usual(endpoint); };
+  auto usual = [](int endpoint) { return endpoint == 3 ? 1200.0 : 300.0; };
+  auto silent = [&](int endpoint) { return endpoint == 0 ? never : usual(endpoint); };
   w.stream(1, 10, 6000, usual);
   w.stream(1, 10, 3000, silent);
   int before = w.sends[0];
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -27,8 +27,8 @@
   for (int request_class : {3, 4}) {
     PolicyHarness w({.copies = false}, 6, 5);
     int id = w.submit(request_class, 5000);
-    while (w.requests.at(id).v.attempts[0].endpoint < 3 || w.requests.at(id).v.attempts[0].endpoint % 2 == 0)
-      id = w.submit(request_class, 5000);
+    auto server = [&] { return number_of(w.requests.at(id).v.attempts[0].endpoint); };
+    while (server() < 3 || server() % 2 == 0) id = w.submit(request_class, 5000);
     EndpointIndex endpoint = w.requests.at(id).v.attempts[0].endpoint;
     w.update_endpoints(EndpointListUpdate::delta, {{.endpoint = endpoint, .state = EndpointState::gone}});
     w.end(id, 0, Outcome::reset);
@@ -49,15 +49,16 @@
     PolicyHarness w({.copies = false}, 6, 5);
     int id = w.submit(request_class, 5000);
     EndpointIndex first = w.requests.at(id).v.attempts[0].endpoint;
-    auto moved = w.entries[first];
+    auto moved = w.entries[position_of(first)];
     moved.zone = 1 - moved.zone;
     moved.cell = (moved.cell + 1) % 3;
     w.update_endpoints(EndpointListUpdate::delta, {moved});
     w.end(id, 0, Outcome::reset);
     ASSERT_EQ(w.requests.at(id).v.attempt_count, 2) << request_class;
-    const auto& second = w.entries[w.requests.at(id).v.attempts[1].endpoint];
+    const auto& second = w.entries[position_of(w.requests.at(id).v.attempts[1].endpoint)];
     bool by_zone = request_class == 3;
-    EXPECT_EQ(by_zone ? second.zone : second.cell, by_zone ? w.entries[first].zone : w.entries[first].cell);
+    EXPECT_EQ(by_zone ? second.zone : second.cell,
+              by_zone ? w.entries[position_of(first)].zone : w.entries[position_of(first)].cell);
   }
 }
 
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -14,7 +14,8 @@
 void apply(PolicyHarness& w, Step step, double& up) {
   auto [kind, a, b] = step;
   auto some_request = [&, a = a] { return std::next(w.requests.begin(), a % std::ssize(w.requests))->first; };
-  EndpointIndex endpoint = a % static_cast<int>(w.entries.size());
+  auto position = a % w.entries.size();
+  auto endpoint = static_cast<EndpointIndex>(position);
   switch (kind % 16) {
     default:
       for (int i = 0; i <= b % 8; ++i) w.submit((a + i) % 5, 200 + 25.0 * b);
@@ -36,17 +37,17 @@
       w.pass(5.0 * (1 + a));
       break;
     case 10:
-      w.entries[endpoint].state = static_cast<EndpointState>(b % 3);
+      w.entries[position].state = static_cast<EndpointState>(b % 3);
       // Of an endpoint that is gone a list may state nothing more.
       if (b % 3 == 0 && b % 2 == 0)
         w.update_endpoints(EndpointListUpdate::delta, {{.endpoint = endpoint, .state = EndpointState::gone}});
       else
-        w.update_endpoints(EndpointListUpdate::delta, {w.entries[endpoint]});
+        w.update_endpoints(EndpointListUpdate::delta, {w.entries[position]});
       break;
     case 11:
-      w.entries[endpoint].state = EndpointState::ready;
-      w.entries[endpoint].up_since = up = std::max(up + 1, w.now_ms - b);
-      w.update_endpoints(EndpointListUpdate::delta, {w.entries[endpoint]});
+      w.entries[position].state = EndpointState::ready;
+      w.entries[position].up_since = up = std::max(up + 1, w.now_ms - b);
+      w.update_endpoints(EndpointListUpdate::delta, {w.entries[position]});
       break;
     case 12:
       w.update_endpoints(EndpointListUpdate::full, w.entries);
@@ -99,8 +100,8 @@
 
 TEST_P(RuleCheckerTest, NamesTheBreach) {
   RuleChecker c({.copies = false});
-  c.endpoint_listed({.endpoint = 0}, 0);
-  c.endpoint_listed({.endpoint = 1, .zone = 1, .cell = 1}, 0);
+  c.endpoint_listed({.endpoint = EndpointIndex{0}}, 0);
+  c.endpoint_listed({.endpoint = EndpointIndex{1}, .zone = 1, .cell = 1}, 0);
   GetParam().act(c);
   EXPECT_EQ(c.breach, GetParam().text);
 }
@@ -111,31 +112,35 @@
                            [](RuleChecker& c) { c.request_arrived(1, 0, 50), c.time_passed(71); }},
                     Breach{"sent after the final answer",
                            [](RuleChecker& c) {
-                             c.request_arrived(1, 0, 50), c.answered(1, Decision::fail, 9), c.sent(1, 0, 9);
+                             c.request_arrived(1, 0, 50), c.answered(1, Decision::fail, 9),
+                                 c.sent(1, EndpointIndex{0}, 9);
                            }},
                     Breach{"non-idempotent request sent again though it may have executed",
                            [](RuleChecker& c) {
-                             c.request_arrived(1, 1, 50), c.sent(1, 0, 1), c.ended(1, 0, Outcome::error),
-                                 c.sent(1, 1, 2);
+                             c.request_arrived(1, 1, 50), c.sent(1, EndpointIndex{0}, 1),
+                                 c.ended(1, 0, Outcome::error), c.sent(1, EndpointIndex{1}, 2);
                            }},
                     Breach{"deduplicated request left its cell",
                            [](RuleChecker& c) {
-                             c.request_arrived(1, 4, 50), c.sent(1, 0, 1), c.ended(1, 0, Outcome::reset),
-                                 c.sent(1, 1, 2);
+                             c.request_arrived(1, 4, 50), c.sent(1, EndpointIndex{0}, 1),
+                                 c.ended(1, 0, Outcome::reset), c.sent(1, EndpointIndex{1}, 2);
                            }},
                     Breach{"rejected though it may have executed",
                            [](RuleChecker& c) {
-                             c.request_arrived(1, 3, 50), c.sent(1, 0, 1), c.ended(1, 0, Outcome::error);
+                             c.request_arrived(1, 3, 50), c.sent(1, EndpointIndex{0}, 1),
+                                 c.ended(1, 0, Outcome::error);
                              c.answered(1, Decision::reject, 2);
                            }},
                     Breach{"sent to a server past its drain",
                            [](RuleChecker& c) {
-                             c.endpoint_listed({.endpoint = 0, .state = EndpointState::draining}, 0),
-                                 c.request_arrived(1, 0, 900), c.sent(1, 0, 300);
+                             c.endpoint_listed(
+                                 {.endpoint = EndpointIndex{0}, .state = EndpointState::draining}, 0),
+                                 c.request_arrived(1, 0, 900), c.sent(1, EndpointIndex{0}, 300);
                            }},
                     Breach{"server overloaded in its slow start", [](RuleChecker& c) {
-                             c.endpoint_listed({.endpoint = 0, .up_since = 100}, 100);
-                             for (int i = 0; i < 6; ++i) c.request_arrived(i, 0, 900), c.sent(i, 0, 200);
+                             c.endpoint_listed({.endpoint = EndpointIndex{0}, .up_since = 100}, 100);
+                             for (int i = 0; i < 6; ++i)
+                               c.request_arrived(i, 0, 900), c.sent(i, EndpointIndex{0}, 200);
                            }}));
 
 }  // namespace
--- a/tests/proxy/request/request_table_test.cpp
+++ b/tests/proxy/request/request_table_test.cpp
@@ -17,7 +17,8 @@
 class RequestTableTest : public testing::Test, protected RequestActions {
  protected:
   RequestTableTest() {
-    const std::vector<EndpointEntry> endpoints{{.endpoint = 0, .weight = 1}, {.endpoint = 1, .weight = 1}};
+    const std::vector<EndpointEntry> endpoints{{.endpoint = EndpointIndex{0}, .weight = 1},
+                                               {.endpoint = EndpointIndex{1}, .weight = 1}};
     policy_.update_endpoints(EndpointListUpdate::full, endpoints, 0);
   }
 
@@ -55,7 +56,7 @@
   EXPECT_TRUE(table_.is_open(number));
   EXPECT_FALSE(table_.is_responding(number));
   EXPECT_TRUE(table_.has_attempted(endpoint_));
-  EXPECT_FALSE(table_.has_attempted(1 - endpoint_));
+  EXPECT_FALSE(table_.has_attempted(endpoint_ == EndpointIndex{0} ? EndpointIndex{1} : EndpointIndex{0}));
   table_.request_arrived(number, request, 1);  // the same number once more
   table_.attempt_ended(number, {.attempt = 0, .request_closed = true, .load_report = {}}, 10);
   EXPECT_EQ(actions_, "start0 released ");
--- a/tests/proxy/upstream/upstream_parts_test.cpp
+++ b/tests/proxy/upstream/upstream_parts_test.cpp
@@ -91,7 +91,7 @@
   EXPECT_EQ(estimator.usable_ms(0), usable_ms);
   for (int i = 0; i < 5; ++i) {
     EXPECT_EQ(estimator.usable_ms(0), usable_ms) << i;
-    estimator.closed_by_endpoint(i % 3, 1000 + i, 0);
+    estimator.closed_by_endpoint(EndpointIndex{i % 3}, 1000 + i, 0);
   }
   EXPECT_EQ(estimator.usable_ms(0), 0.35 * 1000);
   EXPECT_EQ(estimator.usable_ms(10000), 0.35 * 1000);
@@ -101,14 +101,14 @@
 
 TEST(IdleTimeoutEstimator, OneDyingEndpointAndClosesBehindAResponseTellNothing) {
   IdleTimeoutEstimator estimator(idle_timeout_ms);
-  for (int i = 0; i < 20; ++i) estimator.closed_by_endpoint(0, 1000, 0);
-  for (int i = 0; i < 20; ++i) estimator.closed_by_endpoint(i, 49, 0);
+  for (int i = 0; i < 20; ++i) estimator.closed_by_endpoint(EndpointIndex{0}, 1000, 0);
+  for (int i = 0; i < 20; ++i) estimator.closed_by_endpoint(EndpointIndex{i}, 49, 0);
   EXPECT_EQ(estimator.usable_ms(0), usable_ms);
 }
 
 // A health check, which needs no message; its deadlines are those of any attempt.
 UpstreamAttempt attempt_until(double connect_by_ms, double send_by_ms, double limit_at_ms) {
-  return {0,
+  return {EndpointIndex{0},
           UpstreamRequest::health_check("/load"),
           {.started_at_ms = 0,
            .limit_at_ms = limit_at_ms,
@@ -177,7 +177,7 @@
     }
   }
   void start(AttemptId id) {
-    upstreams.start(id, 0, request, {.limit_ms = 60000});
+    upstreams.start(id, EndpointIndex{0}, request, {.limit_ms = 60000});
     turns();
   }
   bool accept() {
@@ -238,7 +238,7 @@
     e.send_response(small_response);
     e.pass_ms(e.settings.settle_ms);
     if (removed) {
-      e.upstreams.remove(0);
+      e.upstreams.remove(EndpointIndex{0});
     } else {
       e.pass_ms(0.8 * e.settings.idle_timeout_ms);
       e.upstreams.close_expired_connections();
--- a/tests/proxy/upstream/upstreams_test.cpp
+++ b/tests/proxy/upstream/upstreams_test.cpp
@@ -29,17 +29,17 @@
   Upstreams upstreams(loop, pool, due, now_ms, {}, Logger(), [] { return false; });
   for (int i = 0; i < 1000; ++i) {
     EndpointIndex endpoint = upstreams.index_of("s" + std::to_string(i));
-    EXPECT_EQ(endpoint, i % 2);
+    EXPECT_EQ(endpoint, EndpointIndex{i % 2});
     upstreams.update_address(endpoint, "127.0.0.1:" + std::to_string(1 + i), i, true);
     EXPECT_EQ(upstreams.endpoints().endpoint_at("127.0.0.1:" + std::to_string(1 + i)), endpoint);
     if (i == 0) continue;
-    int last = upstreams.endpoints().find("s" + std::to_string(i - 1));
+    EndpointIndex last = upstreams.endpoints().find("s" + std::to_string(i - 1));
     upstreams.remove(last);
-    EXPECT_EQ(upstreams.endpoints().endpoint_at("127.0.0.1:" + std::to_string(i)), -1);
-    upstreams.reclaim_indices([](int) { return true; });
+    EXPECT_EQ(upstreams.endpoints().endpoint_at("127.0.0.1:" + std::to_string(i)), no_endpoint);
+    upstreams.reclaim_indices([](EndpointIndex) { return true; });
     EXPECT_EQ(upstreams.endpoints().find("s" + std::to_string(i - 1)), last);
-    upstreams.reclaim_indices([](int) { return false; });
-    EXPECT_EQ(upstreams.endpoints().find("s" + std::to_string(i - 1)), -1);
+    upstreams.reclaim_indices([](EndpointIndex) { return false; });
+    EXPECT_EQ(upstreams.endpoints().find("s" + std::to_string(i - 1)), no_endpoint);
   }
   EXPECT_EQ(upstreams.endpoints().size(), 2u);
 }
@@ -92,7 +92,8 @@
 TEST(Upstreams, AnAttemptEndsOnceWhateverEndsItTwice) {
   {
     UpstreamsFixture fixture;  // it waits for its connection
-    fixture.upstreams.start(1, 0, fixture.request, {.limit_ms = 500, .streaming_budget_ms = 500});
+    fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
+                            {.limit_ms = 500, .streaming_budget_ms = 500});
     fixture.upstreams.abandon_unsent(1);
     fixture.upstreams.abandon_unsent(1);
     EXPECT_FALSE(fixture.upstreams.cancel(1));
@@ -104,7 +105,8 @@
   }
   {
     UpstreamsFixture fixture;  // it was sent whole: only a cancellation ends it
-    fixture.upstreams.start(1, 0, fixture.request, {.limit_ms = 500, .streaming_budget_ms = 500});
+    fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
+                            {.limit_ms = 500, .streaming_budget_ms = 500});
     EXPECT_NE(fixture.received_by_server(), "");
     fixture.upstreams.abandon_unsent(1);
     EXPECT_EQ(fixture.take_outcomes(), Outcomes{});
@@ -114,7 +116,8 @@
   }
   {
     UpstreamsFixture fixture;  // it times out, and is cancelled in the same turn
-    fixture.upstreams.start(1, 0, fixture.request, {.limit_ms = 500, .streaming_budget_ms = 500});
+    fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
+                            {.limit_ms = 500, .streaming_budget_ms = 500});
     EXPECT_NE(fixture.received_by_server(), "");
     fixture.now_ms += 600;
     while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
@@ -129,13 +132,13 @@
 // may have.
 TEST(Upstreams, SendNothingOverAConnectionEstablishedTooLate) {
   UpstreamsFixture fixture;
-  fixture.upstreams.start(1, 0, fixture.request, {.limit_ms = 50, .streaming_budget_ms = 50});
+  fixture.upstreams.start(1, EndpointIndex{0}, fixture.request, {.limit_ms = 50, .streaming_budget_ms = 50});
   fixture.now_ms += 60;
   EXPECT_EQ(fixture.received_by_server(), "");
   while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
   EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
   fixture.upstreams.start(
-      2, 0, fixture.request,
+      2, EndpointIndex{0}, fixture.request,
       {.limit_ms = 500, .streaming_budget_ms = 500});  // over the connection that was established
   fixture.run_loop();
   char bytes[4096];
@@ -148,7 +151,7 @@
   UpstreamsFixture fixture;
   auto arriving = std::make_shared<Message>(fixture.pool, Message::Kind::request, Message::Body::streaming);
   arriving->feed("POST /pay HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\nContent-Length: 2\r\n\r\nh");
-  fixture.upstreams.start(1, 0, arriving, {.limit_ms = 3600000, .streaming_budget_ms = 50});
+  fixture.upstreams.start(1, EndpointIndex{0}, arriving, {.limit_ms = 3600000, .streaming_budget_ms = 50});
   fixture.now_ms += 10;
   arriving->feed("i");
   fixture.upstreams.set_limit(1, 50);
@@ -162,7 +165,7 @@
 TEST(Upstreams, SendNoAttemptThatMissedItsLatestMoment) {
   for (bool at_once : {true, false}) {
     UpstreamsFixture fixture;
-    fixture.upstreams.start(1, 0, fixture.request,
+    fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                             {.limit_ms = 500, .send_by_ms = 50, .streaming_budget_ms = 500});
     fixture.now_ms += 60;
     if (at_once) {  // the connection is established in the turn in which the time is over
@@ -175,7 +178,7 @@
     }
   }
   UpstreamsFixture fixture;  // in time: its response may take until the timeout
-  fixture.upstreams.start(1, 0, fixture.request,
+  fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                           {.limit_ms = 500, .send_by_ms = 50, .streaming_budget_ms = 500});
   EXPECT_NE(fixture.received_by_server(), "");
   fixture.now_ms += 400;
