--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,7 @@
 # `make demo`, `make lint` and `make test` do all that is needed on a fresh Debian machine: install, build, run.
+# Compiles so many files at once.
+JOBS ?= $(shell nproc)
+
 .PHONY: demo fleet-demo test build install format lint
 
 install:
@@ -6,7 +9,7 @@
 
 build: install
 	cmake -B build -DCMAKE_BUILD_TYPE=Release
-	cmake --build build -j4
+	cmake --build build -j$(JOBS)
 
 demo: build
 	build/meadowgauge-testbed run experiments/demo.toml --out build/demo
@@ -25,6 +28,6 @@
 
 test: install
 	cmake -B build-test -DCMAKE_BUILD_TYPE=Debug -DMEADOWGAUGE_TESTS=ON -DMEADOWGAUGE_SANITIZE=ON
-	cmake --build build-test -j4
+	cmake --build build-test -j$(JOBS)
 	filter=; if [ -f KNOWN-RED.txt ]; then filter=$$(tools/known-red KNOWN-RED.txt build-test/tests) || exit 1; fi; \
 	  if [ -n "$$filter" ]; then export GTEST_FILTER="$$filter"; fi; ctest --test-dir build-test --output-on-failure
