--- a/bench/baselines/plain.cpp
+++ b/bench/baselines/plain.cpp
@@ -48,7 +48,7 @@
     v.attempts[static_cast<std::size_t>(v.attempt_count++)] = {.endpoint = endpoint,
                                                                .sent_at_ms = now_ms,
                                                                .outcome = Outcome::superseded,
-                                                               .held = 1,
+                                                               .in_flight_at_send = 1,
                                                                .in_flight = true};
     ++v.in_flight;
     return {.kind = Decision::attempt, .endpoint = endpoint};
@@ -133,7 +133,7 @@
     auto& s = servers[position_of(e.endpoint)];
     s.state = e.state;
     s.zone = e.zone;
-    s.up_since = e.up_since;
+    s.up_since_ms = e.up_since_ms;
   }
 }
 void Policy::probe_ended(EndpointIndex, Outcome, double, const LoadReport&, double) {}
--- a/bench/baselines/plain.hpp
+++ b/bench/baselines/plain.hpp
@@ -15,7 +15,7 @@
 struct Server {
   EndpointState state = EndpointState::gone;
   int zone = 0, in_flight = 0;
-  double up_since = 0;
+  double up_since_ms = 0;
 };
 
 struct State {
--- a/src/admin/commands.cpp
+++ b/src/admin/commands.cpp
@@ -28,22 +28,22 @@
   return c >= first_printable && c <= last_printable;
 }
 
-void append_figure(std::string& text, std::string_view name, std::string_view value, char kind) {
+void append_metric(std::string& text, std::string_view name, std::string_view value, char kind) {
   text.append("balancer.").append(name).append(":").append(value).append("|") += kind;
   text += '\n';
 }
 
-void append_figure(std::string& text, std::string_view name, std::uint64_t value, char kind) {
-  append_figure(text, name, std::to_string(value), kind);
+void append_metric(std::string& text, std::string_view name, std::uint64_t value, char kind) {
+  append_metric(text, name, std::to_string(value), kind);
 }
 
-void append_calls(std::string& text, const std::string& prefix, const proxy::Calls& calls) {
-  append_figure(text, prefix + "success", calls.success, counter);
-  append_figure(text, prefix + "busy", calls.busy, counter);
-  append_figure(text, prefix + "failure", calls.failure, counter);
+void append_outcomes(std::string& text, const std::string& prefix, const proxy::OutcomeCounters& calls) {
+  append_metric(text, prefix + "success", calls.success, counter);
+  append_metric(text, prefix + "busy", calls.rejected, counter);
+  append_metric(text, prefix + "failure", calls.failure, counter);
   for (std::size_t i = 1; i < reason_count; ++i) {
     if (calls.reasons[i] == 0) continue;
-    append_figure(text, prefix + "rejected." + std::string(reason_names[i]), calls.reasons[i], counter);
+    append_metric(text, prefix + "rejected." + std::string(reason_names[i]), calls.reasons[i], counter);
   }
 }
 
@@ -89,20 +89,20 @@
   return Command{.kind = syntax->kind, .server_id = std::string(server_id)};
 }
 
-std::string format_figures(const proxy::Figures& figures) {
-  const auto& calls = figures.calls;
-  const auto classes = std::min(figures.request_classes.size(), calls.request_classes.size());
+std::string format_metrics(const proxy::Metrics& metrics) {
+  const auto& calls = metrics.calls;
+  const auto classes = std::min(metrics.request_classes.size(), calls.request_classes.size());
   std::string text;
   for (std::size_t i = 0; i < classes; ++i)
-    append_calls(text, "calls." + figures.request_classes[i] + ".", calls.request_classes[i]);
-  append_calls(text, "", calls.all);
-  append_figure(text, "backend_calls", figures.attempts, counter);
-  append_figure(text, "inflight", calls.in_flight, gauge);
-  append_figure(text, "hosts_listed", figures.listed, gauge);
-  append_figure(text, "hosts_down", figures.down, gauge);
-  append_figure(text, "reconfig_ok", figures.reloads, counter);
-  append_figure(text, "reconfig_failed", figures.reloads_failed, counter);
-  for (const auto& [name, value] : figures.fleet) append_figure(text, name, format_number(value), gauge);
+    append_outcomes(text, "calls." + metrics.request_classes[i] + ".", calls.request_classes[i]);
+  append_outcomes(text, "", calls.all);
+  append_metric(text, "backend_calls", metrics.attempts, counter);
+  append_metric(text, "inflight", calls.in_flight, gauge);
+  append_metric(text, "hosts_listed", metrics.listed, gauge);
+  append_metric(text, "hosts_down", metrics.down, gauge);
+  append_metric(text, "reconfig_ok", metrics.reloads, counter);
+  append_metric(text, "reconfig_failed", metrics.reloads_failed, counter);
+  for (const auto& [name, value] : metrics.fleet) append_metric(text, name, format_number(value), gauge);
   return text + "eof\n";
 }
 
--- a/src/admin/commands.hpp
+++ b/src/admin/commands.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <variant>
 
-#include "proxy/figures.hpp"
+#include "proxy/metrics.hpp"
 
 namespace meadowgauge::admin {
 
@@ -37,6 +37,6 @@
 
 // The figures as `DUMP` sends them: `balancer.NAME:VALUE|KIND`, one a line (kind c: counter, g: gauge), then
 // a line `eof`.
-std::string format_figures(const proxy::Figures& figures);
+std::string format_metrics(const proxy::Metrics& metrics);
 
 }  // namespace meadowgauge::admin
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -116,7 +116,7 @@
     case Command::Kind::health:
       return handler_.ready() ? "ok ready\n" : "fail not ready\n";
     case Command::Kind::dump:
-      return format_figures(handler_.figures());
+      return format_metrics(handler_.metrics());
     case Command::Kind::offline:
     case Command::Kind::online:
       break;
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -35,7 +35,7 @@
   // Whether the balancer accepts requests.
   [[nodiscard]] virtual bool ready() = 0;
   // The figures as of now.
-  [[nodiscard]] virtual proxy::Figures figures() = 0;
+  [[nodiscard]] virtual proxy::Metrics metrics() = 0;
   // Takes the server out of use (`offline`) or puts it back.
   virtual DrainResult set_offline(const std::string& server_id, bool offline) = 0;
 
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -36,19 +36,19 @@
 }
 double ConcurrencyLimiter::calm_utilization() { return calm_util; }
 
-bool ConcurrencyLimiter::limits(const Request& request) const {
+bool ConcurrencyLimiter::applies_to(const Request& request) const {
   return settings_.stage == 0 && request.attempt_count == 0;
 }
 
 // A part of under a request measures nothing: there probes and reports of the endpoint picked say.
-bool ConcurrencyLimiter::counts(double ready) const {
-  return !load_.by_probes() &&
-         (!load_.by_reports() || per_endpoint * ready * tiers_below_ >= settings_.replicas);
+bool ConcurrencyLimiter::has_count_signal(double ready) const {
+  return !load_.uses_probes() &&
+         (!load_.uses_load_reports() || per_endpoint * ready * tiers_below_ >= settings_.replicas);
 }
 
-bool ConcurrencyLimiter::makes_way(const Request& request) const {
+bool ConcurrencyLimiter::yields_capacity(const Request& request) const {
   auto worth = [this](const RequestClass& c) {
-    return c.settings.priority_weight / (c.answers > 0 ? c.usual_share : mean_usual_share_);
+    return c.settings.priority_weight / (c.answers > 0 ? c.relative_latency : mean_relative_latency_);
   };
   double more = weight_margin * worth(classes_.of(request));
   return std::ranges::any_of(classes_.all, [&](const auto& c) { return worth(c) > more; });
@@ -58,14 +58,14 @@
 double ConcurrencyLimiter::share_for(const Request& request) const {
   double overload = std::clamp((rejected_ - cuts_from) / cuts_from, 0.0, 1.0);
   double quota_cut = request.over_quota ? over_quota_cut : 0;
-  return 1 - overload * (quota_cut + (makes_way(request) ? low_weight_cut : 0));
+  return 1 - overload * (quota_cut + (yields_capacity(request) ? low_weight_cut : 0));
 }
 
 // By Little's law: what is in flight now against what usually is, by the time that takes. Chance puts about a
 // root on top of a number, which is little for the whole tier.
-bool ConcurrencyLimiter::tier_full(const Request& request, double ready) {
+bool ConcurrencyLimiter::is_tier_full(const Request& request, double ready) {
   auto& l = learned_;
-  double in_flight = endpoints_.in_flight;
+  double in_flight = endpoints_.total_in_flight;
   l.mean_in_flight +=
       std::max(fast_gain, 1.0 / static_cast<double>(++arrivals_)) * (in_flight - l.mean_in_flight);
   double share = share_for(request);
@@ -78,7 +78,7 @@
   double bound_ms =
       std::min(target_share * recent_target_ms_, (1 + (baseline_times - 1) * share * share) * l.baseline_ms);
   // Chance is left out once the tier looks overloaded. What is given up on never shows its time.
-  double over = l.baseline_ms > 0 ? l.recent_ms / bound_ms / l.timely : 0;
+  double over = l.baseline_ms > 0 ? l.recent_ms / bound_ms / l.timely_share : 0;
   double chance = chance_roots * (1 - std::clamp((over - 1) / no_chance_over, 0.0, 1.0));
   double mean_full = std::clamp((l.mean_in_flight / few - mean_from) / mean_span, 0.0, 1.0);
   if (in_flight < few + std::min(chance, chance_roots * (1 - mean_full)) * std::sqrt(few)) return false;
@@ -91,22 +91,23 @@
   return !fits;
 }
 
-bool ConcurrencyLimiter::full_by_reports(const Request& request, const Endpoint& endpoint,
-                                         double now_ms) const {
+bool ConcurrencyLimiter::is_full_by_report(const Request& request, const Endpoint& endpoint,
+                                           double now_ms) const {
   double target_ms = classes_.of(request).settings.target_ms;
   return load_.queue_ms(endpoint, now_ms) > share_for(request) * reports_share * target_ms;
 }
 
-bool ConcurrencyLimiter::full_by_probe(const Request& request, const Endpoint& endpoint,
-                                       double now_ms) const {
-  return load_.predicted_ms(request, endpoint, slow_start_.speed(endpoint, now_ms)) >
+bool ConcurrencyLimiter::is_full_by_probe(const Request& request, const Endpoint& endpoint,
+                                          double now_ms) const {
+  return load_.predicted_ms(request, endpoint, slow_start_.capacity_fraction(endpoint, now_ms)) >
          share_for(request) * classes_.of(request).settings.target_ms;
 }
 
-void ConcurrencyLimiter::record_verdict(bool full) { rejected_ += slow_gain * (full - rejected_); }
+void ConcurrencyLimiter::record_decision(bool full) { rejected_ += slow_gain * (full - rejected_); }
 
-void ConcurrencyLimiter::record_timeliness(bool in_time) {
-  learned_.timely = std::max(least_timely, learned_.timely + fast_gain * (in_time - learned_.timely));
+void ConcurrencyLimiter::record_timely(bool in_time) {
+  learned_.timely_share =
+      std::max(least_timely, learned_.timely_share + fast_gain * (in_time - learned_.timely_share));
 }
 
 void ConcurrencyLimiter::record_duration(const Attempt& attempt, RequestClass& request_class, double took_ms,
@@ -114,18 +115,18 @@
   // What ends early on was quick, for the long ones are still out: such times say nothing yet.
   if (now_ms - started_ <= request_class.settings.target_ms) return;
   double gain = std::max(slow_gain, 1.0 / ++answers_), recent_gain = std::max(fast_gain, gain);
-  double usual = update_usual_share(request_class, took_ms);
+  double usual = update_relative_latency(request_class, took_ms);
   blend(learned_.mean_ms, took_ms / usual, gain);
   blend(learned_.recent_ms, took_ms / usual, recent_gain);
   blend(recent_target_ms_, request_class.settings.target_ms / usual, recent_gain);
-  blend(mean_usual_share_, usual, gain);
-  blend(learned_.recent_in_flight, attempt.held, recent_gain);
+  blend(mean_relative_latency_, usual, gain);
+  blend(learned_.recent_in_flight, attempt.in_flight_at_send, recent_gain);
 }
 
 // Times count in terms of their class, or another mix looks like a slower tier. What all have in common stays
 // out of it: a start into overload passed for usual, and servers were overdriven.
-double ConcurrencyLimiter::update_usual_share(RequestClass& request_class, double took_ms) {
-  double& usual = request_class.usual_share;
+double ConcurrencyLimiter::update_relative_latency(RequestClass& request_class, double took_ms) {
+  double& usual = request_class.relative_latency;
   if (learned_.recent_ms == 0 || classes_.all.size() < 2) return usual;
   double ratio = std::max(took_ms, shortest_ms) / learned_.recent_ms / usual;
   double step = 1 + std::max(slow_gain, 1.0 / ++request_class.answers) * (ratio - 1);
@@ -134,7 +135,7 @@
   for (const auto& c : classes_.all) known += c.answers > class_answers_needed;
   if (request_class.answers > class_answers_needed)
     for (auto& c : classes_.all)
-      if (c.answers > class_answers_needed) c.usual_share /= std::pow(step, 1 / known);
+      if (c.answers > class_answers_needed) c.relative_latency /= std::pow(step, 1 / known);
   return usual;
 }
 
@@ -142,7 +143,7 @@
 
 // The baseline is the least that the mean has been; it stays under a load that the limit holds back.
 void ConcurrencyLimiter::tick(double interval_ms) {
-  if (!knows_tier()) return;
+  if (!has_learned_tier()) return;
   auto& l = learned_;
   if (l.baseline_ms == 0 || l.mean_ms < l.baseline_ms)
     l.baseline_ms = l.mean_ms;
@@ -150,8 +151,8 @@
     l.baseline_ms += (l.mean_ms - l.baseline_ms) * interval_ms / baseline_drift_ms;
 }
 
-bool ConcurrencyLimiter::knows_tier() const { return answers_ >= answers_needed; }
-bool ConcurrencyLimiter::knows(const RequestClass& c) { return c.answers >= answers_needed; }
+bool ConcurrencyLimiter::has_learned_tier() const { return answers_ >= answers_needed; }
+bool ConcurrencyLimiter::has_learned(const RequestClass& c) { return c.answers >= answers_needed; }
 
 void ConcurrencyLimiter::restore(const Learned& learned) {
   learned_ = learned;
--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -20,7 +20,7 @@
     double recent_ms = 0;
     double recent_in_flight = 0;  // in flight when the recent ones were sent
     double mean_in_flight = 0;
-    double timely = 1;  // share of attempts that did not time out
+    double timely_share = 1;  // share of attempts that did not time out
     double utilization = 0;
   };
 
@@ -36,29 +36,29 @@
         tiers_below_(settings.stage_count - settings.stage) {}
 
   // First attempts of the first tier alone are limited.
-  [[nodiscard]] bool limits(const Request& request) const;
+  [[nodiscard]] bool applies_to(const Request& request) const;
   // Whether so many ready endpoints are enough for counting requests in flight to mean anything.
-  [[nodiscard]] bool counts(double ready) const;
+  [[nodiscard]] bool has_count_signal(double ready) const;
   // Whether one more is too much: for the tier, by count; for this endpoint, by its reports or its last
   // probe.
-  bool tier_full(const Request& request, double ready);
-  [[nodiscard]] bool full_by_reports(const Request& request, const Endpoint& endpoint, double now_ms) const;
-  [[nodiscard]] bool full_by_probe(const Request& request, const Endpoint& endpoint, double now_ms) const;
+  bool is_tier_full(const Request& request, double ready);
+  [[nodiscard]] bool is_full_by_report(const Request& request, const Endpoint& endpoint, double now_ms) const;
+  [[nodiscard]] bool is_full_by_probe(const Request& request, const Endpoint& endpoint, double now_ms) const;
 
   // A request was, or was not, rejected by one of these.
-  void record_verdict(bool full);
-  void record_timeliness(bool in_time);
+  void record_decision(bool full);
+  void record_timely(bool in_time);
   void record_duration(const Attempt& attempt, RequestClass& request_class, double took_ms, double now_ms);
   void record_utilization(double value);
   // To be called each `interval_ms`.
   void tick(double interval_ms);
 
   [[nodiscard]] double rejected_share() const { return rejected_; }
-  [[nodiscard]] double mean_usual_share() const { return mean_usual_share_; }
+  [[nodiscard]] double mean_relative_latency() const { return mean_relative_latency_; }
   // Enough has been learned of the tier, of a class; anything has.
-  [[nodiscard]] bool knows_tier() const;
-  [[nodiscard]] static bool knows(const RequestClass& c);
-  [[nodiscard]] bool knows_anything() const { return answers_ > 0; }
+  [[nodiscard]] bool has_learned_tier() const;
+  [[nodiscard]] static bool has_learned(const RequestClass& c);
+  [[nodiscard]] bool has_any_sample() const { return answers_ > 0; }
 
   [[nodiscard]] const Learned& learned() const { return learned_; }
   void restore(const Learned& learned);
@@ -70,8 +70,8 @@
 
  private:
   [[nodiscard]] double share_for(const Request& request) const;
-  [[nodiscard]] bool makes_way(const Request& request) const;
-  double update_usual_share(RequestClass& request_class, double took_ms);
+  [[nodiscard]] bool yields_capacity(const Request& request) const;
+  double update_relative_latency(RequestClass& request_class, double took_ms);
 
   const PolicySettings& settings_;
   const EndpointTable& endpoints_;
@@ -82,7 +82,7 @@
   double tiers_below_;  // itself among them
   Learned learned_;
   double recent_target_ms_ = 0;
-  double mean_usual_share_ = 1;
+  double mean_relative_latency_ = 1;
   double rejected_ = 0;  // share of requests
   std::int64_t arrivals_ = 0;
   int answers_ = 0;
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -13,9 +13,10 @@
 // Of the outlier detector. Counts fade with time.
 struct OutlierState {
   double successes = 0, failures = 0;
-  double slowness = 0, slowness_samples = 0;  // sum of log excess over the usual time, and of how many
-  double decayed_at_ms = 0;                   // up to when the four above have faded
-  double ejected_until = 0, healthy_since = 0;
+  double log_latency_excess = 0,
+         latency_samples = 0;  // sum of log excess over the usual time, and of how many
+  double decayed_at_ms = 0;    // up to when the four above have faded
+  double ejected_until_ms = 0, healthy_since_ms = 0;
   int ejections = 0;         // in a row
   bool on_trial = false;     // was ejected, and has not succeeded since
   double failure_share = 0;  // by the latest report, whoever it is from
@@ -42,23 +43,23 @@
   // As listed.
   int zone = 0, cell = 0, server_kind = 0;
   EndpointState state = EndpointState::gone;
-  double up_since = 0, weight = 1;
+  double up_since_ms = 0, weight = 1;
   std::uint32_t id = 0;  // what gossip calls it
 
   // By an operator.
   bool manually_drained = false;
   double drained_at_ms = -never;
-  double restored_at_ms = -never;  // put back, and not tried since
+  double undrained_at_ms = -never;  // put back, and not tried since
 
-  int in_flight = 0;           // own attempts
-  bool unproven = true;        // no outcome yet since it was new or restarted
-  double last_sign_at_ms = 0;  // of life, or when it was first given something to do
+  int in_flight = 0;                   // own attempts
+  bool awaiting_first_outcome = true;  // no outcome yet since it was new or restarted
+  double last_sign_at_ms = 0;          // of life, or when it was first given something to do
 
   OutlierState outlier;
   SlowStartState slow_start;
   LoadState load;
 
-  [[nodiscard]] bool takes_requests() const { return state == EndpointState::ready && !manually_drained; }
+  [[nodiscard]] bool is_available() const { return state == EndpointState::ready && !manually_drained; }
 };
 
 class EndpointTable {
@@ -73,8 +74,8 @@
   }
 
   std::vector<EndpointIndex> listed;
-  double mean_weight = 1;  // of the listed ones
-  int in_flight = 0;       // own attempts, to all endpoints
+  double mean_weight = 1;   // of the listed ones
+  int total_in_flight = 0;  // own attempts, to all endpoints
 
  private:
   std::vector<Endpoint> all_;
--- a/src/policy/endpoint_picker.hpp
+++ b/src/policy/endpoint_picker.hpp
@@ -38,7 +38,7 @@
 
   // no_endpoint: there is none for this attempt, for the reason that refusal() gives until the next pick.
   EndpointIndex pick(const Request& request, double now_ms);
-  [[nodiscard]] RejectionReason refusal() const { return refusal_; }
+  [[nodiscard]] RejectionReason rejection_reason() const { return rejection_reason_; }
 
  private:
   struct Tier {
@@ -48,7 +48,7 @@
   Tier gather(const Request& request, double now_ms);
   void gather_all(const Request& request, int ready, double now_ms);
   bool permitted(const Request& request, EndpointIndex index, double now_ms);
-  [[nodiscard]] bool failure_is_lost(const Request& request) const;
+  [[nodiscard]] bool must_avoid_trials(const Request& request) const;
   [[nodiscard]] EndpointIndex restored_candidate(const Request& request, double now_ms) const;
   bool refuses(bool full);
   EndpointIndex least_probed(double now_ms);
@@ -59,7 +59,7 @@
   PickerParts parts_;
   bool some_repeatable_;  // among the request classes
   std::vector<EndpointIndex> candidates_;
-  RejectionReason refusal_ = RejectionReason::none;
+  RejectionReason rejection_reason_ = RejectionReason::none;
 };
 
 }  // namespace meadowgauge
--- a/src/policy/key_affinity.cpp
+++ b/src/policy/key_affinity.cpp
@@ -23,8 +23,8 @@
     const auto& endpoint = endpoints_[i];
     std::uint64_t hash = mixed(key ^ mixed(endpoint.id + 1ull));
     double uniform = (static_cast<double>(hash >> 12) + 0.5) / 4503599627370496.0;  // 52 bits, never 0 or 1
-    auto& ranking = locality_.is_far(endpoint) ? far_ : near_;
-    ranking.push_back({-std::log(uniform) * load_.kind_time(endpoint.server_kind), i});
+    auto& ranking = locality_.is_remote(endpoint) ? far_ : near_;
+    ranking.push_back({-std::log(uniform) * load_.server_kind_latency_ratio(endpoint.server_kind), i});
   }
 }
 
@@ -48,7 +48,7 @@
     weigh(best, ranking[rank_index].second, fee_ms, 0, now_ms);
   }
   for (auto rank_index = serving; rank_index < ranked; ++rank_index)
-    weigh(best, ranking[rank_index].second, fee_ms, anew_times * load_.usual_response_ms(), now_ms);
+    weigh(best, ranking[rank_index].second, fee_ms, anew_times * load_.typical_response_ms(), now_ms);
 }
 
 EndpointIndex KeyAffinity::pick(const Request& request, double target_ms,
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -17,7 +17,7 @@
   apply("late_took", limiter.recent_ms);
   apply("late_held", limiter.recent_in_flight);
   apply("mean_out", limiter.mean_in_flight);
-  apply("timely", limiter.timely);
+  apply("timely", limiter.timely_share);
   apply("tier_util", limiter.utilization);
   auto& locality = parts.locality;
   apply("spill", locality.spillover);
@@ -25,9 +25,9 @@
   apply("far_util", locality.far_utilization);
   apply("near_took", locality.near_ms);
   apply("far_took", locality.far_ms);
-  apply("slow_end", parts.slow_end_ms);
-  for (std::size_t i = 0; i < parts.class_mean_log_ms.size(); ++i)
-    apply("pace." + std::to_string(i), parts.class_mean_log_ms[i]);
+  apply("slow_end", parts.p95_latency_ms);
+  for (std::size_t i = 0; i < parts.class_mean_log_latency.size(); ++i)
+    apply("pace." + std::to_string(i), parts.class_mean_log_latency[i]);
 }
 
 }  // namespace
--- a/src/policy/learned_state.hpp
+++ b/src/policy/learned_state.hpp
@@ -13,8 +13,8 @@
 struct LearnedParts {
   ConcurrencyLimiter::Learned limiter;
   LocalityRouter::Learned locality;
-  double slow_end_ms = 0;
-  std::vector<double> class_mean_log_ms;
+  double p95_latency_ms = 0;
+  std::vector<double> class_mean_log_latency;
 };
 
 // Adds all of them to the state.
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -25,17 +25,19 @@
 double LoadEstimator::first_gossip_in_ms() { return random_.uniform() * gossip_every_ms; }
 
 // Any that may get the request, drawn anew for each.
-bool LoadEstimator::ask_probes(Request& request, Decision& decision, double now_ms) {
+bool LoadEstimator::request_probes(Request& request, Decision& decision, double now_ms) {
   const auto& listed = endpoints_.listed;
-  if (!by_probes() || request.probed_for > request.attempt_count || listed.empty()) return false;
+  if (!uses_probes() || request.probes_requested_for_attempt > request.attempt_count || listed.empty())
+    return false;
   if (now_ms + 2 * probe_wait_ms() >= request.deadline_ms) return false;
-  request.probed_for = request.attempt_count + 1;
+  request.probes_requested_for_attempt = request.attempt_count + 1;
   for (int n = 0; n < draws_per_probe * probes_each && decision.probe_count < probes_each; ++n) {
     EndpointIndex i = listed[random_.below(listed.size())];
     auto end = decision.probes.begin() + decision.probe_count;
     bool chosen = std::find(decision.probes.begin(), end, i) != end;
     const auto& endpoint = endpoints_[i];
-    if (!endpoint.takes_requests() || !outliers_.usable(endpoint, now_ms) || has_tried(request, i) || chosen)
+    if (!endpoint.is_available() || !outliers_.is_healthy(endpoint, now_ms) || has_tried(request, i) ||
+        chosen)
       continue;
     decision.probes[static_cast<std::size_t>(decision.probe_count++)] = i;
   }
@@ -47,7 +49,7 @@
 
 void LoadEstimator::probe_ended(EndpointIndex index, Outcome outcome, double took_ms,
                                 const LoadReport& report, double now_ms) {
-  if (!by_probes() || !endpoints_.knows(index)) return;
+  if (!uses_probes() || !endpoints_.knows(index)) return;
   auto column = static_cast<std::size_t>(settings_.probe_column);
   bool known =
       outcome == Outcome::succeeded && settings_.probe_column < report.count && report.values[column] >= 0;
@@ -56,14 +58,15 @@
   if (known) probe_took_ms_ += prediction_gain * (took_ms - probe_took_ms_);
 }
 
-bool LoadEstimator::probed_of_late(const Endpoint& endpoint, double now_ms) const {
-  return by_probes() &&
+bool LoadEstimator::has_fresh_probe(const Endpoint& endpoint, double now_ms) const {
+  return uses_probes() &&
          now_ms - endpoint.load.probed_at_ms <= 2 * settings_.wire_tick_ms + probe_holds * probe_took_ms_;
 }
 
-double LoadEstimator::predicted_ms(const Request& request, const Endpoint& endpoint, double speed) const {
+double LoadEstimator::predicted_ms(const Request& request, const Endpoint& endpoint,
+                                   double capacity_fraction) const {
   double own_work_ms = request.work_ms > 0 ? request.work_ms : mean_work_ms_;
-  return prediction_factor_ * (endpoint.load.probed_load * mean_work_ms_ + own_work_ms) / speed;
+  return prediction_factor_ * (endpoint.load.probed_load * mean_work_ms_ + own_work_ms) / capacity_fraction;
 }
 
 void LoadEstimator::record_hint(double work_ms) {
@@ -74,13 +77,13 @@
 // that comes round is counted twice.
 void LoadEstimator::record_attempt(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report,
                                    double now_ms) {
-  if (!by_reports()) return;
+  if (!uses_load_reports()) return;
   bool succeeded = attempt.outcome == Outcome::succeeded;
   auto& load = endpoint.load;
   if (succeeded && settings_.depth_column < report.count) record_depth(endpoint, attempt, report, now_ms);
   // One that was known to take long is overloaded, not at fault: its keys would wander and cost all the more.
   bool overloaded = attempt.outcome == Outcome::rejected;
-  if (overloaded) load.response_ms = std::max(load.response_ms, rejection_times * usual_response_ms_);
+  if (overloaded) load.response_ms = std::max(load.response_ms, rejection_times * typical_response_ms_);
   if (attempt.outcome == Outcome::timeout) {
     double took = now_ms - attempt.sent_at_ms, known = response_ms(endpoint, now_ms);
     overloaded = 2 * known > took;
@@ -99,18 +102,18 @@
   double response_ms = ahead * std::sqrt(ahead) * mean_work_ms_;
   if (!std::isfinite(response_ms)) return;
   endpoint.load.response_ms = response_ms;
-  record_usual(endpoint, now_ms, now_ms);
-  auto& kind = kind_times_[static_cast<std::size_t>(endpoint.server_kind)];
+  update_typical_response(endpoint, now_ms, now_ms);
+  auto& kind = server_kind_latency_[static_cast<std::size_t>(endpoint.server_kind)];
   kind.value +=
       std::max(kind_gain, 1.0 / ++kind.samples) * (work_ms / std::max(1.0, mean_work_ms_) - kind.value);
 }
 
-void LoadEstimator::record_usual(const Endpoint& endpoint, double reported_at_ms, double now_ms) {
+void LoadEstimator::update_typical_response(const Endpoint& endpoint, double reported_at_ms, double now_ms) {
   if (now_ms - reported_at_ms > report_decay_ms) return;
-  usual_reported_at_ms_ = std::max(usual_reported_at_ms_, reported_at_ms);
+  typical_reported_at_ms_ = std::max(typical_reported_at_ms_, reported_at_ms);
   double response_ms = endpoint.load.response_ms * endpoint.weight / endpoints_.mean_weight;
-  double step = std::exp(response_ms > usual_response_ms_ ? usual_step : -usual_step);
-  usual_response_ms_ = usual_response_ms_ == 0 ? response_ms : usual_response_ms_ * step;
+  double step = std::exp(response_ms > typical_response_ms_ ? usual_step : -usual_step);
+  typical_response_ms_ = typical_response_ms_ == 0 ? response_ms : typical_response_ms_ * step;
 }
 
 void LoadEstimator::record_duration(const Attempt& attempt, double took_ms) {
@@ -130,8 +133,8 @@
 
 double LoadEstimator::decayed_ms(const Endpoint& endpoint, double now_ms, double decay_ms) const {
   // Where all turn requests away no report comes, and the last ones told of an overload long gone.
-  double usual_left = std::exp((usual_reported_at_ms_ - now_ms) / usual_decay_ms);
-  double usual = mean_work_ms_ + (usual_response_ms_ - mean_work_ms_) * usual_left;
+  double usual_left = std::exp((typical_reported_at_ms_ - now_ms) / usual_decay_ms);
+  double usual = mean_work_ms_ + (typical_response_ms_ - mean_work_ms_) * usual_left;
   usual = std::max(1.0, usual * endpoints_.mean_weight / endpoint.weight);
   const auto& load = endpoint.load;
   if (!(load.response_ms > 0)) return usual;
@@ -165,12 +168,12 @@
     if (it == endpoints_.listed.end()) continue;
     auto& endpoint = endpoints_[*it];
     double reported_at_ms = now_ms - report.age_ms;
-    if (reported_at_ms <= endpoint.load.reported_at_ms || reported_at_ms <= endpoint.up_since) continue;
+    if (reported_at_ms <= endpoint.load.reported_at_ms || reported_at_ms <= endpoint.up_since_ms) continue;
     endpoint.load.reported_at_ms = reported_at_ms;
     endpoint.outlier.failure_share = report.failure_share;
     endpoint.load.response_ms = report.response_ms;
     // From others too: one that turned all away for what it had met at the start learned nothing else.
-    if (report.response_ms > 0) record_usual(endpoint, reported_at_ms, now_ms);
+    if (report.response_ms > 0) update_typical_response(endpoint, reported_at_ms, now_ms);
   }
 }
 
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -30,23 +30,24 @@
         endpoints_(endpoints),
         outliers_(outliers),
         random_(random),
-        gossips_(by_reports() && settings.peer_messages && settings.replicas > 1),
+        gossips_(uses_load_reports() && settings.peer_messages && settings.replicas > 1),
         gossip_at_ms_(gossips_ ? now_ms + first_gossip_in_ms() : never),
         probe_took_ms_(settings.wire_tick_ms) {}
 
   // Whether only probes tell what an endpoint holds; whether responses tell what waits there.
-  [[nodiscard]] bool by_probes() const { return settings_.probe_column >= 0; }
-  [[nodiscard]] bool by_reports() const { return settings_.depth_column >= 0; }
+  [[nodiscard]] bool uses_probes() const { return settings_.probe_column >= 0; }
+  [[nodiscard]] bool uses_load_reports() const { return settings_.depth_column >= 0; }
 
   // Probes. ask_probes(): for the request's next attempt, once; true: some were asked for, and the decision
   // is to wait for them.
-  bool ask_probes(Request& request, Decision& decision, double now_ms);
+  bool request_probes(Request& request, Decision& decision, double now_ms);
   [[nodiscard]] double probe_wait_ms() const;
   void probe_ended(EndpointIndex index, Outcome outcome, double took_ms, const LoadReport& report,
                    double now_ms);
-  [[nodiscard]] bool probed_of_late(const Endpoint& endpoint, double now_ms) const;
+  [[nodiscard]] bool has_fresh_probe(const Endpoint& endpoint, double now_ms) const;
   // How long a request is thought to take, by the last probe; `speed`: the endpoint's part of its full work.
-  [[nodiscard]] double predicted_ms(const Request& request, const Endpoint& endpoint, double speed) const;
+  [[nodiscard]] double predicted_ms(const Request& request, const Endpoint& endpoint,
+                                    double capacity_fraction) const;
 
   // A request has come with a hint of what it costs.
   void record_hint(double work_ms);
@@ -55,17 +56,20 @@
   // A success has taken so long.
   void record_duration(const Attempt& attempt, double took_ms);
   // There are server kinds up to this one.
-  void know_server_kind(int kind) {
-    if (kind >= static_cast<int>(kind_times_.size())) kind_times_.resize(static_cast<std::size_t>(kind) + 1);
+  void add_server_kind(int kind) {
+    if (kind >= static_cast<int>(server_kind_latency_.size()))
+      server_kind_latency_.resize(static_cast<std::size_t>(kind) + 1);
   }
 
   // How long a request takes there, by the latest report, less of that as it grows old; the second loses it
   // sooner.
   [[nodiscard]] double response_ms(const Endpoint& e, double now_ms) const;
   [[nodiscard]] double queue_ms(const Endpoint& e, double now_ms) const;
-  [[nodiscard]] double usual_response_ms() const { return usual_response_ms_; }
+  [[nodiscard]] double typical_response_ms() const { return typical_response_ms_; }
   // A kind's time for a request over that of all kinds.
-  [[nodiscard]] double kind_time(int kind) const { return kind_times_[static_cast<std::size_t>(kind)].value; }
+  [[nodiscard]] double server_kind_latency_ratio(int kind) const {
+    return server_kind_latency_[static_cast<std::size_t>(kind)].value;
+  }
   // How busy the endpoint of a success says it is, 0 to 1.
   [[nodiscard]] std::optional<double> utilization(const LoadReport& report) const {
     return value_at(report, settings_.utilization_column);
@@ -76,13 +80,13 @@
   void gossip_received(const std::vector<EndpointReport>& reports, double now_ms);
 
  private:
-  struct KindTime {
+  struct ServerKindLatency {
     double value = 1;
     int samples = 0;
   };
   [[nodiscard]] double first_gossip_in_ms();
   void record_depth(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report, double now_ms);
-  void record_usual(const Endpoint& endpoint, double reported_at_ms, double now_ms);
+  void update_typical_response(const Endpoint& endpoint, double reported_at_ms, double now_ms);
   [[nodiscard]] double decayed_ms(const Endpoint& endpoint, double now_ms, double decay_ms) const;
 
   const PolicySettings& settings_;
@@ -95,8 +99,8 @@
   double prediction_factor_ = 1;  // real over predicted durations
   double mean_work_ms_ = 0;       // 0: not known
   int work_samples_ = 0;
-  double usual_response_ms_ = 0, usual_reported_at_ms_ = 0;
-  std::vector<KindTime> kind_times_ = {{}};  // by server kind
+  double typical_response_ms_ = 0, typical_reported_at_ms_ = 0;
+  std::vector<ServerKindLatency> server_kind_latency_ = {{}};  // by server kind
 };
 
 }  // namespace meadowgauge
--- a/src/policy/locality_router.cpp
+++ b/src/policy/locality_router.cpp
@@ -30,7 +30,7 @@
 // Reports tell a second late of a zone with more traffic than servers; own requests tell at once.
 bool LocalityRouter::own_zone_filled(const std::vector<EndpointIndex>& candidates, double on_top) const {
   return std::ranges::all_of(candidates, [&](EndpointIndex i) {
-    return is_far(endpoints_[i]) || endpoints_[i].in_flight >= filled_at_ + on_top;
+    return is_remote(endpoints_[i]) || endpoints_[i].in_flight >= filled_at_ + on_top;
   });
 }
 
@@ -44,18 +44,18 @@
   return peers_share_ * (1 - busier) * calm;
 }
 
-void LocalityRouter::narrow(std::vector<EndpointIndex>& candidates) {
-  if (!crossing_costs() || random_.uniform() < learned_.spillover) return;
+void LocalityRouter::restrict_to_local(std::vector<EndpointIndex>& candidates) {
+  if (!has_cross_zone_cost() || random_.uniform() < learned_.spillover) return;
   double stay = stay_probability();
   if (!own_zone_filled(candidates, 0) ||
       (stay > 0 && random_.uniform() < stay && !own_zone_filled(candidates, 1)))
-    std::erase_if(candidates, [this](EndpointIndex i) { return is_far(endpoints_[i]); });
+    std::erase_if(candidates, [this](EndpointIndex i) { return is_remote(endpoints_[i]); });
 }
 
 // Where little comes the mean follows by the time: the few requests that cross told of other zones half a
 // minute late.
 void LocalityRouter::record_utilization(const Endpoint& endpoint, double utilization, double now_ms) {
-  bool far = is_far(endpoint);
+  bool far = is_remote(endpoint);
   double& reported_at_ms = far ? far_reported_at_ms_ : near_reported_at_ms_;
   double gain = 1 - std::exp((reported_at_ms - now_ms) / report_fresh_ms);
   gain = std::clamp(gain, report_gain_least, report_gain_most);
@@ -64,12 +64,13 @@
 }
 
 void LocalityRouter::record_duration(const Endpoint& endpoint, double took_ms) {
-  if (crossing_costs()) blend(is_far(endpoint) ? learned_.far_ms : learned_.near_ms, took_ms, duration_gain);
+  if (has_cross_zone_cost())
+    blend(is_remote(endpoint) ? learned_.far_ms : learned_.near_ms, took_ms, duration_gain);
 }
 
 // By how much busier the own zone is than it may be; by durations it is only known whether.
 void LocalityRouter::tick() {
-  if (!crossing_costs()) return;
+  if (!has_cross_zone_cost()) return;
   const auto& l = learned_;
   double fuller = l.near_ms > zone_slower * l.far_ms ? spillover_up / spillover_gain : -1;
   if (l.far_utilization > 0)
--- a/src/policy/locality_router.hpp
+++ b/src/policy/locality_router.hpp
@@ -21,11 +21,11 @@
   // All arguments have to outlive it.
   LocalityRouter(const PolicySettings& settings, const EndpointTable& endpoints, Random& random);
 
-  [[nodiscard]] bool crossing_costs() const { return settings_.cross_zone_cost > 0; }
-  [[nodiscard]] bool is_far(const Endpoint& endpoint) const { return endpoint.zone != settings_.zone; }
+  [[nodiscard]] bool has_cross_zone_cost() const { return settings_.cross_zone_cost > 0; }
+  [[nodiscard]] bool is_remote(const Endpoint& endpoint) const { return endpoint.zone != settings_.zone; }
   // Leaves the own zone's endpoints alone among the candidates, unless it is this pick's turn to spill over
   // or the own zone is filled.
-  void narrow(std::vector<EndpointIndex>& candidates);
+  void restrict_to_local(std::vector<EndpointIndex>& candidates);
 
   void record_utilization(const Endpoint& endpoint, double utilization, double now_ms);
   void record_duration(const Endpoint& endpoint, double took_ms);
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -17,23 +17,24 @@
   if (!request.admitted) {
     request.admitted = true;
     retries.record_arrival();
-    request.over_quota = quotas.exceeded_by(request.tenant, now_ms);
+    request.over_quota = quotas.exceeds_quota(request.tenant, now_ms);
     load.record_hint(request.work_ms);
     if (throttle.drops(request.over_quota, now_ms)) return finish(request, RejectionReason::throttle, now_ms);
   } else if (request.in_flight > 0) {
     return hedge(request, now_ms);
   }
-  if (Decision decision; load.ask_probes(request, decision, now_ms)) return decision;
+  if (Decision decision; load.request_probes(request, decision, now_ms)) return decision;
   EndpointIndex index = picker.pick(request, now_ms);
-  return index != no_endpoint ? send(request, index, now_ms) : finish(request, picker.refusal(), now_ms);
+  return index != no_endpoint ? send(request, index, now_ms)
+                              : finish(request, picker.rejection_reason(), now_ms);
 }
 
 // A second copy beside the attempt in flight, where there may be one and it is time for it.
 Decision Policy::Core::hedge(Request& request, double now_ms) {
-  if (!retries.may_copy(request)) return {};
-  EndpointIndex index = retries.wants_copy(request, now_ms) ? picker.pick(request, now_ms) : no_endpoint;
+  if (!retries.may_hedge(request)) return {};
+  EndpointIndex index = retries.should_hedge(request, now_ms) ? picker.pick(request, now_ms) : no_endpoint;
   if (index == no_endpoint) return {.kind = Decision::wait};
-  retries.spend_copy(request);
+  retries.spend_hedge_budget(request);
   return send(request, index, now_ms);
 }
 
@@ -41,10 +42,10 @@
   auto& endpoint = endpoints[index];
   slow_start.spend(endpoint, now_ms);
   double expected_ms = 0;
-  if (load.probed_of_late(endpoint, now_ms))
-    expected_ms = load.predicted_ms(request, endpoint, slow_start.speed(endpoint, now_ms));
+  if (load.has_fresh_probe(endpoint, now_ms))
+    expected_ms = load.predicted_ms(request, endpoint, slow_start.capacity_fraction(endpoint, now_ms));
   endpoint.load.probed_load += 1;
-  endpoint.restored_at_ms = -never;
+  endpoint.undrained_at_ms = -never;
   auto& attempt = add_attempt(request, index, now_ms);
   attempt.expected_ms = static_cast<float>(expected_ms);
   // Its server has nothing to do while a body is still coming, and may be silent all that time.
@@ -63,7 +64,7 @@
   request.deadline_ms = deadline_ms;
   request.body_incoming = false;
   for (auto& attempt : request.sent_attempts()) {
-    if (!attempt.in_flight || attempt.response_started_at_ms != 0 || attempt.counted) continue;
+    if (!attempt.in_flight || attempt.response_started_at_ms != 0 || attempt.counted_in_flight) continue;
     attempt.sent_at_ms = now_ms;
     start_work(attempt, now_ms);
   }
@@ -96,16 +97,16 @@
   if (request.answered || request.in_flight > 0 || request.streaming) return decision;
   // What never came up cost nobody work: the budget ran out while a server could not be reached.
   bool unreached = outcome == Outcome::unreachable;
-  auto refusal = retries.budget_spent() ? RejectionReason::retry_budget : RejectionReason::throttle;
+  auto rejection_reason = retries.budget_spent() ? RejectionReason::retry_budget : RejectionReason::throttle;
   if (unreached || retries.may_retry(outcome, now_ms)) {
-    if (load.ask_probes(request, decision, now_ms)) return decision;
+    if (load.request_probes(request, decision, now_ms)) return decision;
     if (EndpointIndex index = picker.pick(request, now_ms); index != no_endpoint) {
       if (!unreached) retries.spend_retry();
       return send(request, index, now_ms);
     }
-    refusal = picker.refusal();
+    rejection_reason = picker.rejection_reason();
   }
-  return finish(request, refusal, now_ms);
+  return finish(request, rejection_reason, now_ms);
 }
 
 void Policy::Core::learn_from(const Attempt& attempt, RequestClass& request_class, double now_ms) {
@@ -114,8 +115,8 @@
   // Also what was cancelled: the server may work on.
   if (!succeeded) SlowStart::record_failure(endpoint, now_ms);
   if (attempt.outcome == Outcome::cancelled || attempt.outcome == Outcome::superseded) return;
-  if (succeeded || attempt.outcome == Outcome::timeout) limiter.record_timeliness(succeeded);
-  endpoint.unproven = false;
+  if (succeeded || attempt.outcome == Outcome::timeout) limiter.record_timely(succeeded);
+  endpoint.awaiting_first_outcome = false;
   double took_ms =
       (attempt.response_started_at_ms > 0 ? attempt.response_started_at_ms : now_ms) - attempt.sent_at_ms;
   if (succeeded) {
@@ -128,7 +129,7 @@
   // One bad server is not a tier without capacity: the throttle does not count it.
   bool outlier = endpoint.outlier.on_trial;
   if (attempt.outcome != Outcome::rejected) outliers.record_outcome(attempt.endpoint, !succeeded, now_ms);
-  if (succeeded) outliers.record_pace(endpoint, request_class, took_ms);
+  if (succeeded) outliers.record_relative_latency(endpoint, request_class, took_ms);
   if (succeeded || !(outlier || endpoint.outlier.on_trial)) throttle.record(succeeded, now_ms);
 }
 
--- a/src/policy/policy_settings.cpp
+++ b/src/policy/policy_settings.cpp
@@ -25,8 +25,8 @@
 void read_limits(SettingsReader& reader, PolicySettings& s) {
   int attempts = static_cast<int>(reader.number("limits.max_backend_fetches", 1));
   s.max_attempts = std::clamp(attempts, 1, max_attempts);
-  s.second_copies = reader.flag("limits.second_copies");
-  s.cancels = reader.flag("limits.cancelling");
+  s.hedging_enabled = reader.flag("limits.second_copies");
+  s.can_cancel = reader.flag("limits.cancelling");
   if (reader.flag("limits.retry_after")) s.max_retry_after_ms = reader.number("limits.max_retry_after_ms", 0);
   s.peer_messages = reader.flag("limits.peer_messages");
 }
@@ -40,10 +40,10 @@
 }
 
 void read_rules(SettingsReader& reader, PolicySettings& s) {
-  s.starting_share = std::clamp(reader.number("rules.cold_share", 0.2), 0.01, 1.0);
+  s.initial_capacity_fraction = std::clamp(reader.number("rules.cold_share", 0.2), 0.01, 1.0);
   s.slow_start_ms = reader.number("rules.warm_after_ms", 20000);
   s.overload_factor = reader.number("rules.overload_factor", 2);
-  s.overload_for_ms = reader.number("rules.overload_for_ms", 1500);
+  s.overload_window_ms = reader.number("rules.overload_for_ms", 1500);
   s.ask_within_ms = reader.number("rules.ask_within_ms", 10000);
 }
 
--- a/src/policy/policy_settings.hpp
+++ b/src/policy/policy_settings.hpp
@@ -46,8 +46,8 @@
   double stage = 0, stage_count = 1;
 
   int max_attempts = 1;
-  bool second_copies = false;     // a request may be in flight twice
-  bool cancels = false;           // attempts can be cancelled
+  bool hedging_enabled = false;   // a request may be in flight twice
+  bool can_cancel = false;        // attempts can be cancelled
   double max_retry_after_ms = 0;  // 0: clients are not told when to come back
   double wire_tick_ms = 5;        // what is sent leaves up to this later
 
@@ -56,10 +56,10 @@
   int depth_column = -1;        // the same: requests waiting at the endpoint
   int probe_column = -1;        // with probes: requests held by the endpoint
 
-  double starting_share = 0.2;  // of its full work that a cold server bears
+  double initial_capacity_fraction = 0.2;  // of its full work that a cold server bears
   double slow_start_ms = 20000;
   double overload_factor = 2;
-  double overload_for_ms = 1500;
+  double overload_window_ms = 1500;
 
   bool weighted = false;       // listed weights count
   double cross_zone_cost = 0;  // 0: crossing is free
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -43,7 +43,7 @@
 
 std::uint32_t Policy::Core::cancellable(const Request& request) const {
   std::uint32_t bits = 0;
-  for (int n = 0; settings.cancels && n < request.attempt_count; ++n)
+  for (int n = 0; settings.can_cancel && n < request.attempt_count; ++n)
     if (request.attempts[static_cast<std::size_t>(n)].in_flight) bits |= 1u << n;
   return bits;
 }
@@ -57,7 +57,7 @@
              .picked_at_ms = now_ms,
              .sent_at_ms = now_ms,
              .outcome = Outcome::superseded,
-             .held = endpoints.in_flight + 1,
+             .in_flight_at_send = endpoints.total_in_flight + 1,
              .in_flight = true};
   ++request.in_flight;
   return attempt;
@@ -65,16 +65,16 @@
 
 void Policy::Core::start_work(Attempt& attempt, double now_ms) {
   auto& endpoint = endpoints[attempt.endpoint];
-  attempt.counted = true;
-  ++endpoints.in_flight;
+  attempt.counted_in_flight = true;
+  ++endpoints.total_in_flight;
   if (endpoint.in_flight++ == 0) endpoint.last_sign_at_ms = now_ms;
 }
 
 void Policy::Core::end_work(Attempt& attempt, double now_ms) {
   auto& endpoint = endpoints[attempt.endpoint];
   endpoint.last_sign_at_ms = now_ms;
-  if (!std::exchange(attempt.counted, false)) return;
-  --endpoints.in_flight;
+  if (!std::exchange(attempt.counted_in_flight, false)) return;
+  --endpoints.total_in_flight;
   endpoint.in_flight = std::max(0, endpoint.in_flight - 1);
 }
 
@@ -104,23 +104,23 @@
   if (!known) listed.push_back(entry.endpoint);
   // Another process: nothing known of the one before counts, but what is in flight there and whether an
   // operator has drained it.
-  if (!known || entry.up_since > endpoint.up_since) {
+  if (!known || entry.up_since_ms > endpoint.up_since_ms) {
     Endpoint was = std::exchange(endpoint, Endpoint{});
     endpoint.in_flight = was.in_flight;
     endpoint.manually_drained = was.manually_drained;
     endpoint.drained_at_ms = was.drained_at_ms;
-    if (known) endpoint.restored_at_ms = was.restored_at_ms;
+    if (known) endpoint.undrained_at_ms = was.undrained_at_ms;
     endpoint.last_sign_at_ms = now_ms;
-    slow_start.begin(endpoint, now_ms);
+    slow_start.start(endpoint, now_ms);
   }
   endpoint.zone = entry.zone;
   endpoint.cell = entry.cell;
   endpoint.id = entry.id & id_bits;
   endpoint.server_kind = std::max(0, entry.server_kind);
-  outliers.know_server_kind(endpoint.server_kind);
-  load.know_server_kind(endpoint.server_kind);
+  outliers.add_server_kind(endpoint.server_kind);
+  load.add_server_kind(endpoint.server_kind);
   endpoint.weight = settings.weighted && entry.weight > 0 ? entry.weight : 1;
-  endpoint.up_since = std::max(endpoint.up_since, entry.up_since);
+  endpoint.up_since_ms = std::max(endpoint.up_since_ms, entry.up_since_ms);
   endpoint.state = entry.state;
   if (entry.manually_drained && !endpoint.manually_drained) endpoint.drained_at_ms = now_ms;
   endpoint.manually_drained = entry.manually_drained;
@@ -144,9 +144,9 @@
   endpoint.weight = was.weight;
   endpoint.id = was.id;
   endpoint.in_flight = was.in_flight;
-  endpoint.up_since = was.up_since > was.drained_at_ms ? was.up_since : now_ms;
-  endpoint.last_sign_at_ms = endpoint.restored_at_ms = now_ms;
-  SlowStart::restore(endpoint, now_ms);
+  endpoint.up_since_ms = was.up_since_ms > was.drained_at_ms ? was.up_since_ms : now_ms;
+  endpoint.last_sign_at_ms = endpoint.undrained_at_ms = now_ms;
+  SlowStart::restore_after_drain(endpoint, now_ms);
 }
 
 int Policy::Core::unavailable(double now_ms, std::vector<EndpointIndex>* unhealthy) const {
@@ -154,7 +154,7 @@
   for (EndpointIndex i : endpoints.listed) {
     const auto& endpoint = endpoints[i];
     bool bad = endpoint.state == EndpointState::ready &&
-               (outliers.ejected(endpoint, now_ms) || outliers.silent(endpoint, now_ms));
+               (outliers.ejected(endpoint, now_ms) || outliers.unresponsive(endpoint, now_ms));
     if (bad && unhealthy) unhealthy->push_back(i);
     count += endpoint.manually_drained || bad;
   }
@@ -179,15 +179,15 @@
 LearnedParts Policy::Core::learned_parts() const {
   LearnedParts parts{.limiter = limiter.learned(),
                      .locality = locality.learned(),
-                     .slow_end_ms = outliers.slow_end_ms(),
-                     .class_mean_log_ms = {}};
-  for (const auto& c : classes.all) parts.class_mean_log_ms.push_back(c.mean_log_ms);
+                     .p95_latency_ms = outliers.p95_latency_ms(),
+                     .class_mean_log_latency = {}};
+  for (const auto& c : classes.all) parts.class_mean_log_latency.push_back(c.mean_log_latency);
   return parts;
 }
 
 LearnedState Policy::Core::learned_state(double now_ms) const {
   LearnedState state;
-  if (!limiter.knows_tier()) return state;
+  if (!limiter.has_learned_tier()) return state;
   save(learned_parts(), state);
   for (EndpointIndex i : endpoints.listed)
     if (double until = outliers.ejected_for_successor(endpoints[i], now_ms); until > 0)
@@ -196,16 +196,16 @@
 }
 
 void Policy::Core::restore(const LearnedState& state, double now_ms) {
-  if (state.empty() || limiter.knows_anything()) return;
+  if (state.empty() || limiter.has_any_sample()) return;
   auto parts = learned_parts();
   meadowgauge::restore(state, parts);
   limiter.restore(parts.limiter);
   locality.restore(parts.locality);
-  outliers.restore_slow_end_ms(parts.slow_end_ms);
+  outliers.restore_p95_latency_ms(parts.p95_latency_ms);
   for (std::size_t i = 0; i < classes.all.size(); ++i)
-    classes.all[i].mean_log_ms = parts.class_mean_log_ms[i];
+    classes.all[i].mean_log_latency = parts.class_mean_log_latency[i];
   for (EndpointIndex i : endpoints.listed) {
-    endpoints[i].unproven = false;
+    endpoints[i].awaiting_first_outcome = false;
     auto until = saved_ejection(state, i);
     if (until && *until > now_ms) outliers.restore_ejection(endpoints[i], *until, now_ms);
   }
--- a/src/policy/request_class.hpp
+++ b/src/policy/request_class.hpp
@@ -11,8 +11,8 @@
 
 struct RequestClass {
   RequestClassSettings settings;
-  double mean_log_ms = 0;  // mean log of the time taken, weights of servers taken out
-  double usual_share = 1;  // its mean time in those of the tier, whose mean is over all classes
+  double mean_log_latency = 0;  // mean log of the time taken, weights of servers taken out
+  double relative_latency = 1;  // its mean time in those of the tier, whose mean is over all classes
   int answers = 0;
 };
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -37,7 +37,8 @@
   return std::clamp(all_budgets / settings.replicas, 1.0, most_budget);
 }
 
-RejectionReason RetryPolicy::forbids(const Request& request, const Endpoint& endpoint, double now_ms) const {
+RejectionReason RetryPolicy::rejection_reason(const Request& request, const Endpoint& endpoint,
+                                              double now_ms) const {
   int sent = request.attempt_count;
   if (request.answered || request.streaming || sent >= settings_.max_attempts)
     return RejectionReason::attempts;
@@ -46,10 +47,10 @@
   // The last was given up for want of time: another would put off the final answer past the due time.
   double last_at_ms = request.deadline_ms - (sent > 0 ? last_ticks * settings_.wire_tick_ms : 0);
   if (now_ms >= last_at_ms) return RejectionReason::deadline;
-  if (!endpoint.takes_requests()) return RejectionReason::no_server;
+  if (!endpoint.is_available()) return RejectionReason::no_server;
   const auto& rules = classes_.of(request).settings;
   for (const auto& attempt : request.sent_attempts()) {
-    if (attempt.in_flight && !settings_.second_copies) return RejectionReason::attempts;
+    if (attempt.in_flight && !settings_.hedging_enabled) return RejectionReason::attempts;
     if (!may_have_run(attempt) || rules.idempotency == Idempotency::idempotent) continue;
     if (!rules.repeatable() || !still_remembered(attempt, rules, now_ms) || outside(rules, attempt, endpoint))
       return RejectionReason::not_repeatable;
@@ -77,25 +78,27 @@
   return outcome != Outcome::cancelled && !budget_spent() && throttle_.drop_probability(now_ms) <= 0;
 }
 
-bool RetryPolicy::may_copy(const Request& request) const {
-  return settings_.second_copies && request.attempt_count < 2 && !request.large_body &&
+bool RetryPolicy::may_hedge(const Request& request) const {
+  return settings_.hedging_enabled && request.attempt_count < 2 && !request.large_body &&
          classes_.of(request).settings.repeatable();
 }
 
 bool RetryPolicy::is_short(const Request& request) const {
   const auto& c = classes_.of(request);
-  return ConcurrencyLimiter::knows(c) && c.usual_share < short_share * limiter_.mean_usual_share();
+  return ConcurrencyLimiter::has_learned(c) &&
+         c.relative_latency < short_share * limiter_.mean_relative_latency();
 }
 
 // What takes long mostly is much work, which a copy would do twice; what is short is behind such.
-bool RetryPolicy::wants_copy(const Request& request, double now_ms) const {
+bool RetryPolicy::should_hedge(const Request& request, double now_ms) const {
   const auto& endpoint = endpoints_[request.sent_attempts().back().endpoint];
-  return (is_short(request) || outliers_.ejected(endpoint, now_ms) || outliers_.silent(endpoint, now_ms)) &&
+  return (is_short(request) || outliers_.ejected(endpoint, now_ms) ||
+          outliers_.unresponsive(endpoint, now_ms)) &&
          may_retry(Outcome::timeout, now_ms);
 }
 
-void RetryPolicy::spend_copy(const Request& request) {
-  budget_ -= is_short(request) ? classes_.of(request).usual_share / limiter_.mean_usual_share() : 1;
+void RetryPolicy::spend_hedge_budget(const Request& request) {
+  budget_ -= is_short(request) ? classes_.of(request).relative_latency / limiter_.mean_relative_latency() : 1;
 }
 
 // Judged only when an attempt is decided, a window could end while it waits for a connection.
@@ -110,20 +113,20 @@
 
 AttemptTimeout RetryPolicy::timeout(const Request& request, double now_ms) const {
   AttemptTimeout t;
-  double tick_ms = settings_.wire_tick_ms, slow_end_ms = outliers_.slow_end_ms();
+  double tick_ms = settings_.wire_tick_ms, p95_latency_ms = outliers_.p95_latency_ms();
   t.limit_ms = std::max(tick_ms, request.deadline_ms - now_ms - answer_ticks * tick_ms);
   if (request.attempt_count > 0) t.send_by_ms = send_by_ms(request, now_ms);
   // Where no copy may go beside it, what takes longer than nearly all is given up in time for another.
   double give_up_ms = classes_.of(request).settings.target_ms * give_up_share;
-  if (!settings_.second_copies && load_.by_reports() && request.attempt_count < 2 &&
-      classes_.of(request).settings.repeatable() && slow_end_ms < give_up_ms && slow_end_ms > 0 &&
+  if (!settings_.hedging_enabled && load_.uses_load_reports() && request.attempt_count < 2 &&
+      classes_.of(request).settings.repeatable() && p95_latency_ms < give_up_ms && p95_latency_ms > 0 &&
       !budget_spent())
     t.limit_ms = std::min(t.limit_ms, give_up_ms);
   if (request.in_flight == 0) t.ask_again_ms = load_.probe_wait_ms();
-  if (may_copy(request) && request.in_flight == request.attempt_count && request.in_flight > 0)
+  if (may_hedge(request) && request.in_flight == request.attempt_count && request.in_flight > 0)
     t.ask_again_ms = is_short(request)
-                         ? copy_times * std::exp(classes_.of(request).mean_log_ms)
-                         : std::max(copy_floor_ms, copy_times * slow_end_ms) * request.attempt_count;
+                         ? copy_times * std::exp(classes_.of(request).mean_log_latency)
+                         : std::max(copy_floor_ms, copy_times * p95_latency_ms) * request.attempt_count;
   return t;
 }
 
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -28,8 +28,8 @@
         largest_budget_(budget_) {}
 
   // Why the rules forbid an attempt there now; none: they don't. Every attempt passes this.
-  [[nodiscard]] RejectionReason forbids(const Request& request, const Endpoint& endpoint,
-                                        double now_ms) const;
+  [[nodiscard]] RejectionReason rejection_reason(const Request& request, const Endpoint& endpoint,
+                                                 double now_ms) const;
   // Whether an attempt that has not been sent yet may be, wherever its endpoint stands by now.
   [[nodiscard]] bool may_still_be_sent(const Request& request, const Attempt& attempt) const;
   // Whether the client may send it again at `at`: no attempt may have run whose repetition does harm then.
@@ -43,9 +43,9 @@
   [[nodiscard]] bool may_retry(Outcome outcome, double now_ms) const;
 
   // Hedged requests: whether a second copy may go beside the first, and whether it is to go now.
-  [[nodiscard]] bool may_copy(const Request& request) const;
-  [[nodiscard]] bool wants_copy(const Request& request, double now_ms) const;
-  void spend_copy(const Request& request);
+  [[nodiscard]] bool may_hedge(const Request& request) const;
+  [[nodiscard]] bool should_hedge(const Request& request, double now_ms) const;
+  void spend_hedge_budget(const Request& request);
 
   [[nodiscard]] AttemptTimeout timeout(const Request& request, double now_ms) const;
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -11,40 +11,41 @@
 constexpr double idle_load = 0.5;          // below this a probe has found nothing to do there
 constexpr double rate_decay_ms = 5000;     // successes count over this time
 
-double SlowStart::speed(const Endpoint& endpoint, double now_ms) const {
+double SlowStart::capacity_fraction(const Endpoint& endpoint, double now_ms) const {
   if (!warming_up(endpoint, now_ms)) return 1;
-  double part = std::clamp((now_ms - endpoint.up_since) / settings_.slow_start_ms, 0.0, 1.0);
-  return settings_.starting_share + (1 - settings_.starting_share) * part;
+  double part = std::clamp((now_ms - endpoint.up_since_ms) / settings_.slow_start_ms, 0.0, 1.0);
+  return settings_.initial_capacity_fraction + (1 - settings_.initial_capacity_fraction) * part;
 }
 
 // A cold server's share of this instance's sends: what a warm one is seen to deliver, scaled down.
-double SlowStart::share_per_ms(double speed) const {
-  return usual_rate_ * settings_.overload_factor * speed * safety;
+double SlowStart::share_per_ms(double capacity_fraction) const {
+  return usual_rate_ * settings_.overload_factor * capacity_fraction * safety;
 }
 
-void SlowStart::begin(Endpoint& endpoint, double now_ms) {
-  restore(endpoint, now_ms);
+void SlowStart::start(Endpoint& endpoint, double now_ms) {
+  restore_after_drain(endpoint, now_ms);
   // A whole token with each of hundreds pushed servers over at their start: the rest comes evenly.
-  double part = std::max(share_per_ms(settings_.starting_share) * settings_.overload_for_ms,
+  double part = std::max(share_per_ms(settings_.initial_capacity_fraction) * settings_.overload_window_ms,
                          few_balancers / settings_.replicas);
   if (part < 1 && random_.uniform() >= part) endpoint.slow_start.tokens = random_.uniform();
 }
 
-void SlowStart::restore(Endpoint& endpoint, double now_ms) {
+void SlowStart::restore_after_drain(Endpoint& endpoint, double now_ms) {
   endpoint.slow_start.tokens = burst;
   endpoint.slow_start.refilled_at_ms = now_ms;
 }
 
-void SlowStart::find_warmed_up(double now_ms) {
+void SlowStart::update_any_warmed_up(double now_ms) {
   any_warmed_up_ = std::ranges::any_of(endpoints_.listed, [&](EndpointIndex i) {
-    return endpoints_[i].takes_requests() && !warming_up(endpoints_[i], now_ms);
+    return endpoints_[i].is_available() && !warming_up(endpoints_[i], now_ms);
   });
 }
 
 void SlowStart::refill(Endpoint& endpoint, double now_ms) const {
   if (!warming_up(endpoint, now_ms)) return;
   auto& s = endpoint.slow_start;
-  s.tokens = std::min(burst, s.tokens + share_per_ms(speed(endpoint, now_ms)) * (now_ms - s.refilled_at_ms));
+  s.tokens = std::min(
+      burst, s.tokens + share_per_ms(capacity_fraction(endpoint, now_ms)) * (now_ms - s.refilled_at_ms));
   s.refilled_at_ms = now_ms;
 }
 
@@ -53,12 +54,12 @@
 }
 
 bool SlowStart::probed_idle(const Endpoint& endpoint, double now_ms) const {
-  return load_.probed_of_late(endpoint, now_ms) && endpoint.load.probed_load < idle_load &&
+  return load_.has_fresh_probe(endpoint, now_ms) && endpoint.load.probed_load < idle_load &&
          idle(endpoint, now_ms);
 }
 
 // With none warm, one request at a time goes to each: what waits for its answer can't outrun the server.
-bool SlowStart::admits(const Endpoint& endpoint, double now_ms) const {
+bool SlowStart::has_budget(const Endpoint& endpoint, double now_ms) const {
   return !warming_up(endpoint, now_ms) || endpoint.slow_start.tokens >= 1 ||
          (!any_warmed_up_ && idle(endpoint, now_ms)) || probed_idle(endpoint, now_ms);
 }
@@ -75,7 +76,7 @@
   for (EndpointIndex i : endpoints_.listed) {
     auto& endpoint = endpoints_[i];
     endpoint.slow_start.success_rate *= left;
-    if (!endpoint.takes_requests() || warming_up(endpoint, now_ms)) continue;
+    if (!endpoint.is_available() || warming_up(endpoint, now_ms)) continue;
     rates += endpoint.slow_start.success_rate;
     ++warmed_up;
   }
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -16,21 +16,21 @@
       : settings_(settings), endpoints_(endpoints), load_(load), random_(random), started_(now_ms) {}
 
   [[nodiscard]] bool warming_up(const Endpoint& endpoint, double now_ms) const {
-    return endpoint.up_since > 0 && now_ms - endpoint.up_since < settings_.slow_start_ms;
+    return endpoint.up_since_ms > 0 && now_ms - endpoint.up_since_ms < settings_.slow_start_ms;
   }
   // What it does of its full work now, at the least: 0 to 1.
-  [[nodiscard]] double speed(const Endpoint& endpoint, double now_ms) const;
+  [[nodiscard]] double capacity_fraction(const Endpoint& endpoint, double now_ms) const;
 
   // It is new, or was started again.
-  void begin(Endpoint& endpoint, double now_ms);
+  void start(Endpoint& endpoint, double now_ms);
   // It is put back after a manual drain: its first request goes to it at once.
-  static void restore(Endpoint& endpoint, double now_ms);
+  static void restore_after_drain(Endpoint& endpoint, double now_ms);
 
   // Before each pick: whether any listed endpoint is warm.
-  void find_warmed_up(double now_ms);
+  void update_any_warmed_up(double now_ms);
   void refill(Endpoint& endpoint, double now_ms) const;
   // Whether it may get one more request now; always so once it is warm.
-  [[nodiscard]] bool admits(const Endpoint& endpoint, double now_ms) const;
+  [[nodiscard]] bool has_budget(const Endpoint& endpoint, double now_ms) const;
   void spend(Endpoint& endpoint, double now_ms) const;
 
   static void record_success(Endpoint& endpoint) { endpoint.slow_start.success_rate += 1; }
@@ -39,7 +39,7 @@
   void tick(double interval_ms, double now_ms);
 
  private:
-  [[nodiscard]] double share_per_ms(double speed) const;
+  [[nodiscard]] double share_per_ms(double capacity_fraction) const;
   // Nothing of ours is there, and nothing has failed there a moment ago.
   [[nodiscard]] bool idle(const Endpoint& endpoint, double now_ms) const;
   [[nodiscard]] bool probed_idle(const Endpoint& endpoint, double now_ms) const;
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -18,7 +18,7 @@
   }
 }
 
-bool TenantQuotas::exceeded_by(int tenant, double now_ms) {
+bool TenantQuotas::exceeds_quota(int tenant, double now_ms) {
   if (tenant < 0 || tenant >= static_cast<int>(tenants_.size())) return false;
   for (auto& other : tenants_) other.share_left = std::min(share_burst, other.share_left + other.share);
   auto& t = tenants_[static_cast<std::size_t>(tenant)];
--- a/src/policy/tenant_quotas.hpp
+++ b/src/policy/tenant_quotas.hpp
@@ -14,7 +14,7 @@
 
   // A request of this tenant has arrived. True: it is beyond both the tenant's quota and its share of what
   // arrives here. A tenant that is not known has neither.
-  bool exceeded_by(int tenant, double now_ms);
+  bool exceeds_quota(int tenant, double now_ms);
 
  private:
   struct Tenant {
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -55,7 +55,7 @@
   int cell = 0;
   EndpointState state = EndpointState::ready;
   double weight = 0;
-  double up_since = 0;            // 0: long ago
+  double up_since_ms = 0;         // 0: long ago
   bool manually_drained = false;  // by an operator
   std::uint32_t id = 0;           // the same at every balancer
 };
@@ -106,9 +106,9 @@
   double picked_at_ms = 0;  // the window of an idempotency key begins here, before its first byte is out
   double sent_at_ms = 0;    // the same, or when a body that was still coming had come
   Outcome outcome = Outcome::succeeded;  // meaningful once it is no longer in flight
-  int held = 0;  // attempts in flight to all endpoints when it was sent, itself among them
+  int in_flight_at_send = 0;  // attempts in flight to all endpoints when it was sent, itself among them
   bool in_flight = false;
-  bool counted = false;               // among those that its endpoint is known to work on
+  bool counted_in_flight = false;     // among those that its endpoint is known to work on
   float expected_ms = 0;              // its predicted duration; 0: nothing was known
   double response_started_at_ms = 0;  // 0: not yet
 };
@@ -129,9 +129,9 @@
   int in_flight = 0;
   bool admitted = false;
   bool answered = false;
-  bool streaming = false;   // its response has started and belongs to the client
-  bool over_quota = false;  // beyond its tenant's quota and share
-  int probed_for = 0;       // the number, from 1, of the attempt that probes were last asked for
+  bool streaming = false;                // its response has started and belongs to the client
+  bool over_quota = false;               // beyond its tenant's quota and share
+  int probes_requested_for_attempt = 0;  // the number, from 1, of the attempt that probes were last asked for
 
   bool large_body = false;      // more than is held at a time: no second copy can be sent beside the first
   bool body_incoming = false;   // the rest of it is still to come
--- a/src/program/admin_service.cpp
+++ b/src/program/admin_service.cpp
@@ -27,10 +27,10 @@
   advance_takeover();
 }
 
-proxy::Figures AdminService::figures() {
-  auto figures = balancer_.figures();
-  if (fleet_) figures.fleet = fleet_->figures();
-  return figures;
+proxy::Metrics AdminService::metrics() {
+  auto metrics = balancer_.metrics();
+  if (fleet_) metrics.fleet = fleet_->metrics();
+  return metrics;
 }
 
 admin::DrainResult AdminService::set_offline(const std::string& server_id, bool offline) {
--- a/src/program/admin_service.hpp
+++ b/src/program/admin_service.hpp
@@ -37,7 +37,7 @@
 
  private:
   bool ready() override { return balancer_.ready(); }
-  proxy::Figures figures() override;
+  proxy::Metrics metrics() override;
   admin::DrainResult set_offline(const std::string& server_id, bool offline) override;
   void advance_takeover();
 
--- a/src/program/fleet_coordinator.cpp
+++ b/src/program/fleet_coordinator.cpp
@@ -124,18 +124,18 @@
 
 // --- What the balancer asks and tells -------------------------------------------------------------------
 
-double FleetCoordinator::take(int tenant, int request_class) {
+double FleetCoordinator::try_acquire(int tenant, int request_class) {
   if (disabled_) return 0;
   double retry_after_ms = limits_.admit(tenant, request_class, clock_.now());
   if (retry_after_ms > 0) ++counters_.rejected;
   return retry_after_ms;
 }
 
-void FleetCoordinator::give_back(int tenant, int request_class) {
+void FleetCoordinator::release(int tenant, int request_class) {
   if (!disabled_) limits_.undo_admission(tenant, request_class, clock_.now());
 }
 
-void FleetCoordinator::served(std::uint32_t server) {
+void FleetCoordinator::record_success(std::uint32_t server) {
   if (config_.verdicts) verdicts_.record_success(server, clock_.now());
 }
 
@@ -338,14 +338,14 @@
 
 // --- Figures --------------------------------------------------------------------------------------------
 
-std::vector<std::pair<std::string, double>> FleetCoordinator::figures() const {
+std::vector<std::pair<std::string, double>> FleetCoordinator::metrics() const {
   if (disabled_) return {};
   double now_ms = clock_.now();
   std::array<int, std::size(status_names)> by_status{};
   for (auto peer : members_.members()) ++by_status[static_cast<std::size_t>(members_.status(peer, now_ms))];
   const auto& socket = socket_.counters();
   auto total = [](std::uint64_t count) { return static_cast<double>(count); };
-  std::vector<std::pair<std::string, double>> figures{{"fleet.alive", by_status[0]},
+  std::vector<std::pair<std::string, double>> metrics{{"fleet.alive", by_status[0]},
                                                       {"fleet.suspected", by_status[1]},
                                                       {"fleet.gone", by_status[2]},
                                                       {"fleet.address", socket_.is_open()},
@@ -364,21 +364,21 @@
   for (std::size_t reason = 0; reason < socket.dropped.size(); ++reason) {
     std::string name("fleet.dropped.");
     for (char c : membership::name_of(static_cast<DropReason>(reason))) name += c == ' ' ? '_' : c;
-    figures.emplace_back(name, total(socket.dropped[reason]));
+    metrics.emplace_back(name, total(socket.dropped[reason]));
   }
-  append_limit_figures(figures, now_ms);
-  return figures;
+  append_limit_figures(metrics, now_ms);
+  return metrics;
 }
 
-void FleetCoordinator::append_limit_figures(std::vector<std::pair<std::string, double>>& figures,
+void FleetCoordinator::append_limit_figures(std::vector<std::pair<std::string, double>>& metrics,
                                             double now_ms) const {
   for (int i = 0; i < limits_.size(); ++i) {
     const auto& quota = limits_.quota(i);
     auto prefix = "fleet.limit." + limits_.limit(i).name + ".";
-    figures.emplace_back(prefix + "right", quota.available_rate(now_ms));
-    figures.emplace_back(prefix + "lent", quota.lent(now_ms));
-    figures.emplace_back(prefix + "borrowed", quota.borrowed(now_ms));
-    figures.emplace_back(prefix + "asked_for", quota.demand(now_ms));
+    metrics.emplace_back(prefix + "right", quota.available_rate(now_ms));
+    metrics.emplace_back(prefix + "lent", quota.lent(now_ms));
+    metrics.emplace_back(prefix + "borrowed", quota.borrowed(now_ms));
+    metrics.emplace_back(prefix + "asked_for", quota.demand(now_ms));
   }
 }
 
--- a/src/program/fleet_coordinator.hpp
+++ b/src/program/fleet_coordinator.hpp
@@ -31,9 +31,9 @@
   FleetCoordinator(const FleetCoordinator&) = delete;
   FleetCoordinator& operator=(const FleetCoordinator&) = delete;
 
-  double take(int tenant, int request_class) override;
-  void give_back(int tenant, int request_class) override;
-  void served(std::uint32_t server) override;
+  double try_acquire(int tenant, int request_class) override;
+  void release(int tenant, int request_class) override;
+  void record_success(std::uint32_t server) override;
   void leave() override;
   // The balancer whose servers the verdicts are on. It outlives this.
   void set_balancer(proxy::Balancer& balancer) { balancer_ = &balancer; }
@@ -42,7 +42,7 @@
   // now on.
   void reload(const std::optional<fleet::FleetConfig>& config);
   // Names and values for the admin endpoint; the names are those of docs/operate/fleet.md.
-  [[nodiscard]] std::vector<std::pair<std::string, double>> figures() const;
+  [[nodiscard]] std::vector<std::pair<std::string, double>> metrics() const;
 
  private:
   // When something is due next, or was last done, in ms by the clock.
@@ -80,7 +80,7 @@
   void log_drops(double now_ms);
   [[nodiscard]] bool may_send_lease_datagram(double now_ms);
   [[nodiscard]] membership::Datagram new_datagram(membership::DatagramKind kind);
-  void append_limit_figures(std::vector<std::pair<std::string, double>>& figures, double now_ms) const;
+  void append_limit_figures(std::vector<std::pair<std::string, double>>& metrics, double now_ms) const;
 
   transport::Loop& loop_;
   transport::Clock clock_;
--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -31,7 +31,7 @@
                   .max_connections = divide_descriptors(descriptors_).upstream},
                  log_, [this] { return downstream_.shed(DownstreamConnections::ShedScope::any); }),
       downstream_(loop, pool_, due_, setup.listen, now_ms_, divide_descriptors(descriptors_).downstream,
-                  divide_descriptors(descriptors_).downstream_overflow, tally_,
+                  divide_descriptors(descriptors_).downstream_overflow, counters_,
                   {.shared = setup.shared, .later = setup.later}),
       discovery_(loop, pool_, due_, now_ms_, setup.discovery, setup.known.seq, setup.seed, log_,
                  watch_terms(setup.settings, log_)),
@@ -46,13 +46,13 @@
                  .downstream = downstream_,
                  .endpoints = endpoints_,
                  .shutdown = shutdown_,
-                 .tally = tally_},
+                 .counters = counters_},
                 log_),
       settings_(setup.settings),
       endpoint_list_received_(!setup.discovery),
       tick_at_ms_(now_ms_),
       sweep_at_ms_(now_ms_) {
-  tally_.request_classes.resize(proxy_settings_.request_classes.size());
+  counters_.request_classes.resize(proxy_settings_.request_classes.size());
   endpoints_.use_cached(setup.known, now_ms_);
   discovery_.start();
 }
@@ -160,10 +160,10 @@
   return all;
 }
 
-Figures Balancer::figures() const {
+Metrics Balancer::metrics() const {
   std::vector<std::string> request_classes;
   for (const auto& rules : proxy_settings_.request_classes) request_classes.push_back(rules.name);
-  return {.calls = tally_,
+  return {.calls = counters_,
           .request_classes = std::move(request_classes),
           .attempts = upstreams_.requests_sent(),
           .listed = upstreams_.endpoints().listed_count(),
--- a/src/proxy/balancer.hpp
+++ b/src/proxy/balancer.hpp
@@ -16,9 +16,9 @@
 #include "proxy/discovery/client.hpp"
 #include "proxy/downstream/connections.hpp"
 #include "proxy/endpoint/directory.hpp"
-#include "proxy/figures.hpp"
 #include "proxy/graceful_shutdown.hpp"
 #include "proxy/logger.hpp"
+#include "proxy/metrics.hpp"
 #include "proxy/proxy_settings.hpp"
 #include "proxy/request/filter.hpp"
 #include "proxy/request/forwarder.hpp"
@@ -88,7 +88,7 @@
   // Gossip of other balancers.
   void gossip_received(const GossipContent& gossip) { policy_.gossip_received(gossip, now_ms_); }
 
-  [[nodiscard]] Figures figures() const;
+  [[nodiscard]] Metrics metrics() const;
   // Whether discovery lists a server of that name.
   [[nodiscard]] bool is_listed(const std::string& name) const { return endpoints_.is_listed(name); }
   // The servers that operators have out, all of them; it holds from now on whatever is listed.
@@ -109,7 +109,7 @@
   ProxySettings proxy_settings_;
   std::size_t descriptors_, buffers_;  // all that it may have, alone
   transport::Pool pool_;
-  Tally tally_;
+  RequestCounters counters_;
   transport::DueTimes due_;
   Policy policy_;
   Upstreams upstreams_;
--- a/src/proxy/downstream/connections.cpp
+++ b/src/proxy/downstream/connections.cpp
@@ -11,7 +11,7 @@
 DownstreamConnections::DownstreamConnections(transport::Loop& loop, transport::Pool& pool,
                                              transport::DueTimes& due, const transport::Address& listen,
                                              const double& now_ms, std::size_t most_served,
-                                             std::size_t most_beyond, Tally& tally,
+                                             std::size_t most_beyond, RequestCounters& counters,
                                              transport::Listener::How how)
     : loop_(loop),
       pool_(pool),
@@ -19,7 +19,7 @@
       now_ms_(now_ms),
       most_served_(most_served),
       most_beyond_(most_beyond),
-      tally_(tally),
+      counters_(counters),
       listener_(loop, listen, *this, how) {}
 
 DownstreamConnections::~DownstreamConnections() = default;
@@ -95,14 +95,14 @@
   c.request_class = request_class;
   if (request_class >= 0 || !c.counted) return;
   c.counted = false;
-  tally_.in_flight -= std::exchange(c.counted_in_flight, false);
+  counters_.in_flight -= std::exchange(c.counted_in_flight, false);
 }
 
 // Its request has ended, with that status or before any response was out.
 void DownstreamConnections::count_outcome(Connection& c, int status) {
   if (!std::exchange(c.counted, false)) return;
-  tally_.in_flight -= std::exchange(c.counted_in_flight, false);
-  tally_.count(c.request_class, status);
+  counters_.in_flight -= std::exchange(c.counted_in_flight, false);
+  counters_.count(c.request_class, status);
 }
 
 // Between requests, with nothing of a next one here.
--- a/src/proxy/downstream/connections.hpp
+++ b/src/proxy/downstream/connections.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "protocol/http.hpp"
-#include "proxy/figures.hpp"
+#include "proxy/metrics.hpp"
 #include "proxy/request/shared_message.hpp"
 #include "transport/due_times.hpp"
 #include "transport/listener.hpp"
@@ -44,7 +44,7 @@
   // rejected.
   DownstreamConnections(transport::Loop& loop, transport::Pool& pool, transport::DueTimes& due,
                         const transport::Address& listen, const double& now_ms, std::size_t most_served,
-                        std::size_t most_beyond, Tally& tally, transport::Listener::How how);
+                        std::size_t most_beyond, RequestCounters& counters, transport::Listener::How how);
   ~DownstreamConnections();
   DownstreamConnections(const DownstreamConnections&) = delete;
   DownstreamConnections& operator=(const DownstreamConnections&) = delete;
@@ -149,7 +149,7 @@
   transport::DueTimes& due_;
   const double& now_ms_;
   std::size_t most_served_, most_beyond_;
-  Tally& tally_;
+  RequestCounters& counters_;
   transport::Listener listener_;
   bool accept_blocked_ = false;  // connections may wait that there was no descriptor for
   bool draining_ = false, stopping_ = false;
--- a/src/proxy/downstream/requests.cpp
+++ b/src/proxy/downstream/requests.cpp
@@ -90,7 +90,7 @@
         c.body_incoming = false;
         c.request.reset();
         c.counted_in_flight = c.counted;
-        tally_.in_flight += c.counted_in_flight;
+        counters_.in_flight += c.counted_in_flight;
         if (c.peer_closed) report_gone(c);
         return clear_deadline(c);
       }
@@ -127,7 +127,7 @@
   c.counted = true;
   c.request_class = -1;
   c.counted_in_flight = !c.body_incoming;  // taken with its last byte
-  tally_.in_flight += c.counted_in_flight;
+  counters_.in_flight += c.counted_in_flight;
   events_.push_back({.client = c.id, .message = c.request});
   if (c.body_incoming) return;
   c.request.reset();
--- a/src/proxy/endpoint/directory.cpp
+++ b/src/proxy/endpoint/directory.cpp
@@ -80,7 +80,7 @@
                       .cell = listed.block >= 0 ? listed.block : -1 - static_cast<int>(endpoint),
                       .state = active ? EndpointState::ready : EndpointState::draining,
                       .weight = listed.weight,
-                      .up_since = listed.started_ms,
+                      .up_since_ms = listed.started_ms,
                       .manually_drained = drained,
                       .id = server_id(endpoint)});
 }
--- a/src/proxy/figures.hpp
+++ b/src/proxy/metrics.hpp
@@ -12,17 +12,19 @@
 namespace meadowgauge::proxy {
 
 // Final responses of a kind, by what they told the client.
-struct Calls {
-  std::uint64_t success = 0, busy = 0, failure = 0;
+struct OutcomeCounters {
+  std::uint64_t success = 0, rejected = 0, failure = 0;
   std::array<std::uint64_t, reason_count> reasons{};  // of those that the policy rejected or failed
 
-  void count(int status) { ++(status == 200 ? success : status == 429 || status == 503 ? busy : failure); }
+  void count(int status) {
+    ++(status == 200 ? success : status == 429 || status == 503 ? rejected : failure);
+  }
 };
 
 // Of final responses, each counted when its last byte is written, or its client has gone.
-struct Tally {
-  Calls all;
-  std::vector<Calls> request_classes;
+struct RequestCounters {
+  OutcomeCounters all;
+  std::vector<OutcomeCounters> request_classes;
   std::size_t in_flight = 0;
 
   void count(int request_class, int status) {
@@ -33,8 +35,8 @@
 };
 
 // What the admin server shows.
-struct Figures {
-  Tally calls;
+struct Metrics {
+  RequestCounters calls;
   std::vector<std::string> request_classes;  // their names
   std::uint64_t attempts = 0;                // written whole
   std::size_t listed = 0, down = 0;
--- a/src/proxy/request/admission.cpp
+++ b/src/proxy/request/admission.cpp
@@ -131,7 +131,7 @@
                           .body_incoming = !message.complete()};
   // Last, as it uses the limit up.
   if (context.fleet_limits)
-    if (double wait_ms = context.fleet_limits->take(request.tenant, request_class); wait_ms > 0)
+    if (double wait_ms = context.fleet_limits->try_acquire(request.tenant, request_class); wait_ms > 0)
       return refuse(RefusalReason::fleet_limit, wait_ms);
   return request;
 }
--- a/src/proxy/request/forwarder.cpp
+++ b/src/proxy/request/forwarder.cpp
@@ -53,7 +53,7 @@
       downstream_(parts.downstream),
       endpoints_(parts.endpoints),
       shutdown_(parts.shutdown),
-      tally_(parts.tally),
+      counters_(parts.counters),
       log_(std::move(log)),
       admission_(settings_.request_classes, settings_.tenants),
       requests_(policy_, parts.due_times, *this),
@@ -123,7 +123,7 @@
   unanswered_[event.client] = number;
   requests_.request_arrived(number, request, now_ms_);
   if (request_filter_ && last_rejected_ == number)
-    request_filter_->give_back(admitted.tenant, admitted.request_class);
+    request_filter_->release(admitted.tenant, admitted.request_class);
 }
 
 // When the final response has to be out. As the process ends, before it does: the policy and the upstream are
@@ -242,7 +242,7 @@
     return policy_.probe_ended(event.endpoint, event.outcome, now_ms_ - event.started_at_ms, report, now_ms_);
   bool succeeded = event.outcome == Outcome::succeeded;
   if (request_filter_ && succeeded && event.endpoint != no_endpoint)
-    request_filter_->served(endpoints_.server_id(event.endpoint));
+    request_filter_->record_success(endpoints_.server_id(event.endpoint));
   auto number = request_number_of(event.attempt);
   int attempt = attempt_of(event.attempt);
   if (!succeeded && event.endpoint != no_endpoint) log_failed_attempt(number, attempt, event);
--- a/src/proxy/request/forwarder.hpp
+++ b/src/proxy/request/forwarder.hpp
@@ -14,9 +14,9 @@
 #include "policy/policy.hpp"
 #include "proxy/downstream/connections.hpp"
 #include "proxy/endpoint/directory.hpp"
-#include "proxy/figures.hpp"
 #include "proxy/graceful_shutdown.hpp"
 #include "proxy/logger.hpp"
+#include "proxy/metrics.hpp"
 #include "proxy/proxy_settings.hpp"
 #include "proxy/request/admission.hpp"
 #include "proxy/request/filter.hpp"
@@ -38,7 +38,7 @@
     DownstreamConnections& downstream;
     const EndpointDirectory& endpoints;
     const GracefulShutdown& shutdown;
-    Tally& tally;
+    RequestCounters& counters;
   };
 
   RequestForwarder(const Parts& parts, Logger log);
@@ -166,7 +166,7 @@
   DownstreamConnections& downstream_;
   const EndpointDirectory& endpoints_;
   const GracefulShutdown& shutdown_;
-  Tally& tally_;
+  RequestCounters& counters_;
   Logger log_;
   RequestAdmission admission_;
   RequestTable requests_;
--- a/src/proxy/request/log.cpp
+++ b/src/proxy/request/log.cpp
@@ -26,7 +26,7 @@
 void RequestForwarder::log_rejection(RequestNumber number, std::string_view how, RejectionReason reason) {
   const auto& request = in_flight_.at(number);
   auto request_class = static_cast<std::size_t>(request.request_class);
-  ++tally_.request_classes[request_class].reasons[static_cast<std::size_t>(reason)];
+  ++counters_.request_classes[request_class].reasons[static_cast<std::size_t>(reason)];
   if (!log_.wants(Level::debug)) return;
   auto reason_name = reason_names[static_cast<std::size_t>(reason)];
   auto id = request.message->find(names::request_id);
--- a/src/simulator_adapter/wire_messages.cpp
+++ b/src/simulator_adapter/wire_messages.cpp
@@ -59,7 +59,7 @@
           .cell = record.get<std::uint16_t>(7),
           .state = endpoint_state_of(record.get<std::uint8_t>(9)),
           .weight = record.get<float>(10),
-          .up_since = record.get<double>(14),
+          .up_since_ms = record.get<double>(14),
           .id = record.get<std::uint32_t>(0)};
 }
 
--- a/tests/broken/broken.cpp
+++ b/tests/broken/broken.cpp
@@ -14,7 +14,7 @@
 #ifdef BROKEN_SLOW_START
   // All requests go to the server that started last.
   return *std::max_element(ready.begin(), ready.end(), [&](EndpointIndex a, EndpointIndex b) {
-    return s.servers[position_of(a)].up_since < s.servers[position_of(b)].up_since;
+    return s.servers[position_of(a)].up_since_ms < s.servers[position_of(b)].up_since_ms;
   });
 #else
   return ready[s.below(ready.size())];
--- a/tests/hot_restart/manual_drain_test.cpp
+++ b/tests/hot_restart/manual_drain_test.cpp
@@ -59,7 +59,7 @@
   for (int i = 0; i < 20; ++i) w.end(w.submit(0, 5000), 0, i % 2 ? Outcome::succeeded : Outcome::timeout);
   EXPECT_EQ(w.sends[0], 0);
   for (auto& e : w.entries) e.manually_drained = e.endpoint == EndpointIndex{0};
-  w.entries[0].up_since = w.now_ms;
+  w.entries[0].up_since_ms = w.now_ms;
   w.update_endpoints(EndpointListUpdate::full, w.entries);
   w.entries[1].state = EndpointState::draining;
   w.update_endpoints(EndpointListUpdate::full, w.entries);
--- a/tests/policy/decision_digest/generated_day.hpp
+++ b/tests/policy/decision_digest/generated_day.hpp
@@ -233,7 +233,7 @@
       case 2:
       case 3:
         e.state = EndpointState::ready;
-        e.up_since = now_ms_;
+        e.up_since_ms = now_ms_;
         break;
       case 4:
         e.weight = 0.5 + rng_.below(4) * 0.5;
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -70,7 +70,7 @@
       }
     };
     rounds(300);
-    for (std::size_t i = 6; i < 16; ++i) w.entries[i].up_since = w.now_ms;
+    for (std::size_t i = 6; i < 16; ++i) w.entries[i].up_since_ms = w.now_ms;
     w.update_endpoints(EndpointListUpdate::full, w.entries);
     int before = w.sends[0];
     rounds(250);  // 5 s: a trial after each ejection, and no more
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -60,7 +60,7 @@
     throttled = throttled || reason_of(jammed, jammed.submit(1, 900)) == RejectionReason::throttle;
   EXPECT_TRUE(throttled);
   PolicyHarness starting({}, 1, 1);
-  starting.entries[0].up_since = starting.now_ms;
+  starting.entries[0].up_since_ms = starting.now_ms;
   starting.update_endpoints(EndpointListUpdate::full, starting.entries);
   for (int i = 0; i < 3; ++i) id = starting.submit(0, 5000);
   EXPECT_EQ(reason_of(starting, id), RejectionReason::slow_start);
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -46,7 +46,7 @@
       break;
     case 11:
       w.entries[position].state = EndpointState::ready;
-      w.entries[position].up_since = up = std::max(up + 1, w.now_ms - b);
+      w.entries[position].up_since_ms = up = std::max(up + 1, w.now_ms - b);
       w.update_endpoints(EndpointListUpdate::delta, {w.entries[position]});
       break;
     case 12:
@@ -138,7 +138,7 @@
                                  c.request_arrived(1, 0, 900), c.sent(1, EndpointIndex{0}, 300);
                            }},
                     Breach{"server overloaded in its slow start", [](RuleChecker& c) {
-                             c.endpoint_listed({.endpoint = EndpointIndex{0}, .up_since = 100}, 100);
+                             c.endpoint_listed({.endpoint = EndpointIndex{0}, .up_since_ms = 100}, 100);
                              for (int i = 0; i < 6; ++i)
                                c.request_arrived(i, 0, 900), c.sent(i, EndpointIndex{0}, 200);
                            }}));
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -24,7 +24,7 @@
     }
   };
   round(1000);
-  w.entries[0].up_since = w.now_ms;
+  w.entries[0].up_since_ms = w.now_ms;
   w.update_endpoints(EndpointListUpdate::delta, {w.entries[0]});
   int before = w.sends[0];
   round(static_cast<int>(rules.overload_window_ms / 10));
@@ -48,7 +48,7 @@
     };
     for (int i = 0; i < 10; ++i) request(), w.pass(250);
     usual += w.sends[0];
-    w.entries[0].up_since = w.now_ms;
+    w.entries[0].up_since_ms = w.now_ms;
     w.update_endpoints(EndpointListUpdate::full, w.entries);
     w.sends.clear();
     for (int i = 0; i < 5; ++i) request(), w.pass(250);
@@ -101,7 +101,7 @@
     while (all[0]->now_ms < 108000) step();
     began = all[0]->now_ms;
     for (auto& w : all) {
-      w->entries[0].up_since = began;
+      w->entries[0].up_since_ms = began;
       w->update_endpoints(EndpointListUpdate::full, w->entries);
     }
     while (all[0]->now_ms < began + 8000) step();
@@ -122,7 +122,7 @@
 // With every server new the budget of a single one never filled, and the tier was cut off.
 TEST(SlowStart, TierOfNewServersIsUsedOneRequestAtATime) {
   PolicyHarness w({}, 3, 5);
-  for (auto& e : w.entries) e.up_since = w.now_ms - 1;
+  for (auto& e : w.entries) e.up_since_ms = w.now_ms - 1;
   w.update_endpoints(EndpointListUpdate::full, w.entries);
   w.stream(0, 50, 2000, [](int) { return 20.0; });
   EXPECT_GT(w.sends[0] + w.sends[1] + w.sends[2], 30);
@@ -133,7 +133,7 @@
 // work on the last.
 TEST(SlowStart, LoneServerRestsAfterACancelledRequest) {
   PolicyHarness w({}, 1, 5);
-  w.entries[0].up_since = w.now_ms - 1;
+  w.entries[0].up_since_ms = w.now_ms - 1;
   w.update_endpoints(EndpointListUpdate::full, w.entries);
   for (int i = 0; i < 20; ++i) {
     w.leave(w.submit(0, 5000));
--- a/tests/proxy/downstream/downstream_connections_test.cpp
+++ b/tests/proxy/downstream/downstream_connections_test.cpp
@@ -17,12 +17,12 @@
 struct ScriptedFleetLimits final : RequestFilter {
   double wait_ms = 0;
   int taken = 0;
-  double take(int, int) override {
+  double try_acquire(int, int) override {
     ++taken;
     return wait_ms;
   }
-  void give_back(int, int) override {}
-  void served(std::uint32_t) override {}
+  void release(int, int) override {}
+  void record_success(std::uint32_t) override {}
   void leave() override {}
 };
 
