--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -3,158 +3,229 @@
 #include <algorithm>
 
 namespace meadowgauge {
+namespace {
+
+constexpr double panic_threshold_share = 0.5;      // of the ready endpoints healthy; below it all are used
+constexpr double trial_repeatable_only_ms = 4000;  // after an ejection, only repeatable requests try it
+constexpr double undrained_repeatable_only_ms = 2000;  // the same after a manual drain
+constexpr double max_idle_requests = 0.5;          // own requests in flight below which an endpoint is idle
+constexpr double remote_tie_break_requests = 0.1;  // load added to other zones, so that the own one wins ties
+
+// Own requests in flight. An endpoint without an outcome yet counts as busy as the others, or a new one would
+// attract every pick.
+double assumed_in_flight(const Endpoint& endpoint, double mean_in_flight) {
+  double own = endpoint.in_flight;
+  return endpoint.awaiting_first_outcome ? std::max(own, mean_in_flight) : own;
+}
 
-constexpr double panic_share = 0.5;  // with fewer than this share of the ready usable, all are used
-// For so long after an ejection, and after a manual drain, only requests that may run again try an endpoint.
-constexpr double trial_waits_ms = 4000, restored_waits_ms = 2000;
-constexpr double idle_below = 0.5;  // requests in flight
-constexpr double far_load = 0.1;    // of a request: the own zone's servers go first among equals
+}  // namespace
 
 EndpointPicker::EndpointPicker(const PickerParts& parts) : parts_(parts) {
-  auto repeatable = [](const auto& c) { return c.repeatable(); };
-  some_repeatable_ = std::ranges::any_of(parts.settings.request_classes, repeatable);
+  auto is_repeatable = [](const RequestClassSettings& settings) { return settings.repeatable(); };
+  any_class_is_repeatable_ = std::ranges::any_of(parts.settings.request_classes, is_repeatable);
 }
 
 EndpointIndex EndpointPicker::pick(const Request& request, double now_ms) {
   rejection_reason_ = RejectionReason::no_server;
   auto& limiter = parts_.limiter;
-  auto tier = gather(request, now_ms);
-  bool limits = limiter.applies_to(request);
-  if (limits && limiter.has_count_signal(tier.ready) && refuses(limiter.is_tier_full(request, tier.ready)))
+  auto tier = gather_healthy(request, now_ms);
+  bool is_limited = limiter.applies_to(request);
+  if (is_limited && limiter.has_count_signal(tier.ready) &&
+      is_rejected(limiter.is_tier_full(request, tier.ready)))
     return no_endpoint;
-  // Taking servers out must not empty the tier: where most look unhealthy, the tier is, and all are used.
-  // What a rule keeps from a request is not unhealthy: with most servers new, quick failers were used.
-  if (candidates_.empty() || tier.unhealthy > (1 - panic_share) * (tier.ready - request.attempt_count))
-    gather_all(request, tier.ready, now_ms);
+  // A shared fault makes all look unhealthy; ejecting endpoints would then only empty the tier. An endpoint
+  // that a rule excludes is not unhealthy: with most endpoints new, quick failers would be used again.
+  double untried = tier.ready - request.attempt_count;
+  if (candidates_.empty() || tier.unhealthy > (1 - panic_threshold_share) * untried)
+    gather_regardless_of_health(request, tier.ready, now_ms);
   if (candidates_.empty()) return no_endpoint;
-  if (EndpointIndex i = restored_candidate(request, now_ms); i != no_endpoint) return i;
+  if (EndpointIndex index = undrained_candidate(request, now_ms); index != no_endpoint) return index;
   if (parts_.affinity.applies_to(request)) {
-    double target_ms = parts_.classes.of(request).settings.target_ms;
-    EndpointIndex i = parts_.affinity.pick(request, target_ms, candidates_, now_ms);
-    bool full = limiter.is_full_by_report(request, parts_.endpoints[i], now_ms);
-    return limits && refuses(full) ? no_endpoint : i;
+    EndpointIndex index = pick_by_affinity(request, now_ms);
+    bool is_full = limiter.is_full_by_report(request, parts_.endpoints[index], now_ms);
+    return admit_unless(is_full, is_limited, index);
   }
-  if (EndpointIndex i = parts_.load.uses_probes() ? least_probed(now_ms) : no_endpoint; i != no_endpoint) {
-    bool full = limiter.is_full_by_probe(request, parts_.endpoints[i], now_ms);
-    return limits && refuses(full) ? no_endpoint : i;
+  EndpointIndex least = parts_.load.uses_probes() ? pick_least_probed(now_ms) : no_endpoint;
+  if (least != no_endpoint) {
+    bool is_full = limiter.is_full_by_probe(request, parts_.endpoints[least], now_ms);
+    return admit_unless(is_full, is_limited, least);
   }
   parts_.locality.restrict_to_local(candidates_);
-  return idle_or_lesser(tier.mean_in_flight, now_ms);
+  return pick_idle_or_lesser(tier.mean_in_flight, now_ms);
 }
 
-// A trial of a server that may still fail costs a non-idempotent request, and nothing one that may run again.
-bool EndpointPicker::must_avoid_trials(const Request& request) const {
-  return some_repeatable_ && !parts_.classes.of(request).settings.repeatable();
+EndpointIndex EndpointPicker::admit_unless(bool is_full, bool is_limited, EndpointIndex index) {
+  return is_limited && is_rejected(is_full) ? no_endpoint : index;
+}
+
+bool EndpointPicker::is_rejected(bool is_full) {
+  parts_.limiter.record_decision(is_full);
+  if (is_full && !candidates_.empty()) rejection_reason_ = RejectionReason::concurrency_limit;
+  return is_full;
 }
 
-EndpointPicker::Tier EndpointPicker::gather(const Request& request, double now_ms) {
+// Collects the endpoints that this request may go to; on the way, slow start's budgets are brought up to
+// date.
+EndpointPicker::TierCounts EndpointPicker::gather_healthy(const Request& request, double now_ms) {
   candidates_.clear();
   parts_.slow_start.update_any_warmed_up(now_ms);
-  Tier tier;
-  double in_flight = 0;
-  int proven = 0;
-  bool lost = must_avoid_trials(request);
-  for (EndpointIndex i : parts_.endpoints.listed) {
-    auto& endpoint = parts_.endpoints[i];
+  TierCounts tier;
+  double sum_in_flight = 0;
+  int with_outcome = 0;
+  for (EndpointIndex index : parts_.endpoints.listed) {
+    auto& endpoint = parts_.endpoints[index];
     if (!endpoint.is_available()) continue;
     ++tier.ready;
-    if (!endpoint.awaiting_first_outcome) in_flight += endpoint.in_flight, ++proven;
+    if (!endpoint.awaiting_first_outcome) {
+      sum_in_flight += endpoint.in_flight;
+      ++with_outcome;
+    }
     parts_.slow_start.refill(endpoint, now_ms);
-    if (has_tried(request, i)) continue;
-    const auto& o = endpoint.outlier;
-    if (!parts_.outliers.is_healthy(endpoint, now_ms) ||
-        (lost && o.on_trial && now_ms < o.ejected_until_ms + trial_waits_ms))
+    if (has_tried(request, index)) continue;
+    if (!is_healthy_for(request, endpoint, now_ms)) {
       ++tier.unhealthy;
-    else if (permitted(request, i, now_ms))
-      candidates_.push_back(i);
+    } else if (is_permitted(request, index, now_ms)) {
+      candidates_.push_back(index);
+    }
   }
-  if (proven > 0) tier.mean_in_flight = in_flight / proven;
+  if (with_outcome > 0) tier.mean_in_flight = sum_in_flight / with_outcome;
   return tier;
 }
 
-void EndpointPicker::gather_all(const Request& request, int ready, double now_ms) {
+// The panic threshold's candidates. An endpoint that was tried before comes again only where it is alone.
+void EndpointPicker::gather_regardless_of_health(const Request& request, int ready, double now_ms) {
   candidates_.clear();
-  for (EndpointIndex i : parts_.endpoints.listed)
-    if (permitted(request, i, now_ms) && (!has_tried(request, i) || ready == 1)) candidates_.push_back(i);
+  for (EndpointIndex index : parts_.endpoints.listed)
+    if (is_permitted(request, index, now_ms) && (!has_tried(request, index) || ready == 1))
+      candidates_.push_back(index);
+}
+
+// Whether the endpoint looks healthy enough for this request: not ejected, unresponsive or reported to fail,
+// and not in a recent half-open trial unless the request may run again.
+bool EndpointPicker::is_healthy_for(const Request& request, const Endpoint& endpoint, double now_ms) const {
+  if (!parts_.outliers.is_healthy(endpoint, now_ms)) return false;
+  const auto& outlier = endpoint.outlier;
+  bool in_recent_trial = outlier.on_trial && now_ms < outlier.ejected_until_ms + trial_repeatable_only_ms;
+  return !(in_recent_trial && must_avoid_trials(request));
 }
 
-bool EndpointPicker::permitted(const Request& request, EndpointIndex index, double now_ms) {
-  const auto& endpoint = parts_.endpoints[index];
+// A failed trial loses a non-idempotent request; a repeatable one goes on elsewhere. Where every class is
+// non-idempotent, somebody has to try.
+bool EndpointPicker::must_avoid_trials(const Request& request) const {
+  return any_class_is_repeatable_ && !parts_.classes.of(request).settings.repeatable();
+}
+
+// Why a rule keeps this endpoint from the request, or `none`. In order:
+//  attempts, deadline, no_server, not_repeatable   RetryPolicy::rejection_reason (rules 1 to 3)
+//  slow_start                                      SlowStart::has_budget (rule 4)
+RejectionReason EndpointPicker::exclusion_reason(const Request& request, const Endpoint& endpoint,
+                                                 double now_ms) const {
   auto reason = parts_.retries.rejection_reason(request, endpoint, now_ms);
-  if (reason == RejectionReason::none && !parts_.slow_start.has_budget(endpoint, now_ms))
-    reason = RejectionReason::slow_start;
+  if (reason != RejectionReason::none) return reason;
+  return parts_.slow_start.has_budget(endpoint, now_ms) ? RejectionReason::none : RejectionReason::slow_start;
+}
+
+// Every attempt passes this check. Remembers the reason that excludes an available endpoint.
+bool EndpointPicker::is_permitted(const Request& request, EndpointIndex index, double now_ms) {
+  auto reason = exclusion_reason(request, parts_.endpoints[index], now_ms);
   if (reason != RejectionReason::no_server) rejection_reason_ = reason;
   return reason == RejectionReason::none;
 }
 
-EndpointIndex EndpointPicker::restored_candidate(const Request& request, double now_ms) const {
-  bool waits = must_avoid_trials(request);
-  for (EndpointIndex i : candidates_) {
-    double undrained_at_ms = parts_.endpoints[i].undrained_at_ms;
-    if (undrained_at_ms > -never && (!waits || now_ms - undrained_at_ms > restored_waits_ms)) return i;
+// An endpoint whose manual drain has ended and that has had no attempt since: the next request shows whether
+// it works. For some time only a repeatable request does.
+EndpointIndex EndpointPicker::undrained_candidate(const Request& request, double now_ms) const {
+  bool must_wait = must_avoid_trials(request);
+  for (EndpointIndex index : candidates_) {
+    double undrained_at_ms = parts_.endpoints[index].undrained_at_ms;
+    bool is_undrained = undrained_at_ms > -never;
+    if (is_undrained && (!must_wait || now_ms - undrained_at_ms > undrained_repeatable_only_ms)) return index;
   }
   return no_endpoint;
 }
 
-bool EndpointPicker::refuses(bool full) {
-  parts_.limiter.record_decision(full);
-  if (full && !candidates_.empty()) rejection_reason_ = RejectionReason::concurrency_limit;
-  return full;
+EndpointIndex EndpointPicker::pick_by_affinity(const Request& request, double now_ms) {
+  double objective_ms = parts_.classes.of(request).settings.target_ms;
+  return parts_.affinity.pick(request, objective_ms, candidates_, now_ms);
 }
 
-EndpointIndex EndpointPicker::least_probed(double now_ms) {
+// Requests in flight at the endpoint with this one, as its last probe tells, for the share of its full
+// capacity that it has while it warms up. Other zones lose ties.
+double EndpointPicker::probed_load(const Endpoint& endpoint, double now_ms) const {
+  double load = (endpoint.load.probed_load + 1) / parts_.slow_start.capacity_fraction(endpoint, now_ms);
+  bool is_costly = parts_.locality.has_cross_zone_cost() && parts_.locality.is_remote(endpoint);
+  return load + (is_costly ? remote_tie_break_requests : 0);
+}
+
+// The least loaded of the candidates with a fresh probe, at random among equals; `no_endpoint`: none has one.
+EndpointIndex EndpointPicker::pick_least_probed(double now_ms) {
   EndpointIndex least = no_endpoint;
-  int equal = 0;
   double least_load = never;
-  for (EndpointIndex i : candidates_) {
-    const auto& endpoint = parts_.endpoints[i];
+  int equal = 0;
+  for (EndpointIndex index : candidates_) {
+    const auto& endpoint = parts_.endpoints[index];
     if (!parts_.load.has_fresh_probe(endpoint, now_ms) || endpoint.load.probed_load == never) continue;
-    bool crosses = parts_.locality.has_cross_zone_cost() && parts_.locality.is_remote(endpoint);
-    double load = (endpoint.load.probed_load + 1) / parts_.slow_start.capacity_fraction(endpoint, now_ms);
-    load += crosses ? far_load : 0;
-    if (load < least_load) least = i, least_load = load, equal = 0;
-    if (load == least_load && parts_.random.uniform() * ++equal < 1) least = i;
+    double load = probed_load(endpoint, now_ms);
+    if (load < least_load) {
+      least = index;
+      least_load = load;
+      equal = 0;
+    }
+    if (load == least_load && parts_.random.uniform() * ++equal < 1) least = index;
   }
   return least;
 }
 
-EndpointIndex EndpointPicker::idle_or_lesser(double mean_in_flight, double now_ms) {
+EndpointIndex EndpointPicker::pick_idle_or_lesser(double mean_in_flight, double now_ms) {
   auto& endpoints = parts_.endpoints;
-  if (parts_.load.uses_load_reports())
-    for (EndpointIndex i : candidates_)
-      endpoints[i].load.expected_ms = parts_.load.response_ms(endpoints[i], now_ms);
-  auto known_in_flight = [&](EndpointIndex i) {
-    double own = endpoints[i].in_flight;
-    return endpoints[i].awaiting_first_outcome ? std::max(own, mean_in_flight) : own;
-  };
-  double idle = 0, all = 0;
-  EndpointIndex picked = no_endpoint;
-  for (EndpointIndex i : candidates_) {
-    if (known_in_flight(i) >= idle_below) continue;
-    double w = weight(endpoints[i]);
-    idle += w;
-    if (parts_.random.uniform() * idle < w) picked = i;
+  if (parts_.load.uses_load_reports()) {
+    for (EndpointIndex index : candidates_)
+      endpoints[index].load.expected_ms = parts_.load.response_ms(endpoints[index], now_ms);
+  }
+  EndpointIndex idle = draw_idle(mean_in_flight);
+  return idle != no_endpoint ? idle : lesser_of_two(mean_in_flight);
+}
+
+// Draws one idle candidate by weight, in one pass; `no_endpoint`: none is idle.
+EndpointIndex EndpointPicker::draw_idle(double mean_in_flight) {
+  double sum_of_weights = 0;
+  EndpointIndex drawn = no_endpoint;
+  for (EndpointIndex index : candidates_) {
+    const auto& endpoint = parts_.endpoints[index];
+    if (assumed_in_flight(endpoint, mean_in_flight) >= max_idle_requests) continue;
+    double own_weight = weight(endpoint);
+    sum_of_weights += own_weight;
+    if (parts_.random.uniform() * sum_of_weights < own_weight) drawn = index;
   }
-  if (picked != no_endpoint) return picked;
-  for (EndpointIndex i : candidates_) all += weight(endpoints[i]);
-  EndpointIndex a = draw(all);
-  EndpointIndex b = draw(all);
-  return (known_in_flight(b) + 1) * weight(endpoints[a]) < (known_in_flight(a) + 1) * weight(endpoints[b])
-             ? b
-             : a;
+  return drawn;
 }
 
-// A server's part of the draws: its listed weight, less the slower than its peers it has been of late.
+// Draws two candidates by weight; the one with fewer own requests in flight for its weight.
+EndpointIndex EndpointPicker::lesser_of_two(double mean_in_flight) {
+  const auto& endpoints = parts_.endpoints;
+  double sum_of_weights = 0;
+  for (EndpointIndex index : candidates_) sum_of_weights += weight(endpoints[index]);
+  EndpointIndex first = draw(sum_of_weights);
+  EndpointIndex second = draw(sum_of_weights);
+  double first_load = assumed_in_flight(endpoints[first], mean_in_flight) + 1;
+  double second_load = assumed_in_flight(endpoints[second], mean_in_flight) + 1;
+  return second_load * weight(endpoints[first]) < first_load * weight(endpoints[second]) ? second : first;
+}
+
+// An endpoint's weight in the draws. Where responses report queue depths: 1 / expected latency squared.
+// Otherwise the listed weight, reduced for an endpoint slower than its peers.
 double EndpointPicker::weight(const Endpoint& endpoint) const {
-  double ms = endpoint.load.expected_ms;
-  return parts_.load.uses_load_reports() ? 1 / (ms * ms)
-                                         : endpoint.weight * parts_.outliers.speed_factor(endpoint);
+  double expected_ms = endpoint.load.expected_ms;
+  if (parts_.load.uses_load_reports()) return 1 / (expected_ms * expected_ms);
+  return endpoint.weight * parts_.outliers.speed_factor(endpoint);
 }
 
-EndpointIndex EndpointPicker::draw(double all_weights) {
-  double left = parts_.random.uniform() * all_weights;
-  for (EndpointIndex i : candidates_)
-    if ((left -= weight(parts_.endpoints[i])) <= 0) return i;
+EndpointIndex EndpointPicker::draw(double sum_of_weights) {
+  double left = parts_.random.uniform() * sum_of_weights;
+  for (EndpointIndex index : candidates_) {
+    left -= weight(parts_.endpoints[index]);
+    if (left <= 0) return index;
+  }
   return candidates_.back();
 }
 
--- a/src/policy/endpoint_picker.hpp
+++ b/src/policy/endpoint_picker.hpp
@@ -1,4 +1,5 @@
-// The endpoint picker: one endpoint for one attempt. Idle ones first, else the lesser of two drawn by weight.
+// Chooses the endpoint of an attempt. Design: docs/design.md, "Kept" and "Changed, and when each exception
+// acts".
 #pragma once
 
 #include <vector>
@@ -17,7 +18,7 @@
 
 namespace meadowgauge {
 
-// What the picker asks, and tells of what it decides. All of it has to outlive the picker.
+// The policy's other parts that the picker asks, or informs of its decisions. All must outlive the picker.
 struct PickerParts {
   const PolicySettings& settings;
   EndpointTable& endpoints;
@@ -32,32 +33,53 @@
   Random& random;
 };
 
+// Picks in this order:
+//
+//  1. The concurrency limit may reject a first attempt at the first tier.
+//  2. Candidates are the endpoints that are healthy for this request (is_healthy_for) and that no rule
+//  excludes
+//     (exclusion_reason). Panic threshold: where most ready endpoints look unhealthy, health is ignored.
+//  3. An endpoint whose manual drain has just ended is tried first.
+//  4. By key affinity, if it applies to the request; by fresh probes, if probes are what tells load.
+//  5. Otherwise, in the own zone first, a random endpoint without own requests in flight, else the one with
+//     fewer of two drawn by weight (power of two choices).
 class EndpointPicker {
  public:
   explicit EndpointPicker(const PickerParts& parts);
 
-  // no_endpoint: there is none for this attempt, for the reason that refusal() gives until the next pick.
+  // Returns `no_endpoint` where no endpoint may get this attempt; rejection_reason() then tells why.
   EndpointIndex pick(const Request& request, double now_ms);
+  // The reason for the last `no_endpoint`: the limit's, or that of the last endpoint excluded by a rule.
   [[nodiscard]] RejectionReason rejection_reason() const { return rejection_reason_; }
 
  private:
-  struct Tier {
-    int ready = 0, unhealthy = 0;  // of the ready ones
-    double mean_in_flight = 0;     // of those with an outcome
+  // Counts of the endpoints that are listed as ready and not drained.
+  struct TierCounts {
+    int ready = 0;
+    int unhealthy = 0;
+    double mean_in_flight = 0;  // own requests per endpoint that has had an outcome
   };
-  Tier gather(const Request& request, double now_ms);
-  void gather_all(const Request& request, int ready, double now_ms);
-  bool permitted(const Request& request, EndpointIndex index, double now_ms);
+  TierCounts gather_healthy(const Request& request, double now_ms);
+  void gather_regardless_of_health(const Request& request, int ready, double now_ms);
+  [[nodiscard]] bool is_healthy_for(const Request& request, const Endpoint& endpoint, double now_ms) const;
   [[nodiscard]] bool must_avoid_trials(const Request& request) const;
-  [[nodiscard]] EndpointIndex restored_candidate(const Request& request, double now_ms) const;
-  bool refuses(bool full);
-  EndpointIndex least_probed(double now_ms);
-  EndpointIndex idle_or_lesser(double mean_in_flight, double now_ms);
+  [[nodiscard]] RejectionReason exclusion_reason(const Request& request, const Endpoint& endpoint,
+                                                 double now_ms) const;
+  bool is_permitted(const Request& request, EndpointIndex index, double now_ms);
+  EndpointIndex pick_by_affinity(const Request& request, double now_ms);
+  EndpointIndex admit_unless(bool is_full, bool is_limited, EndpointIndex index);
+  [[nodiscard]] EndpointIndex undrained_candidate(const Request& request, double now_ms) const;
+  bool is_rejected(bool is_full);
+  EndpointIndex pick_least_probed(double now_ms);
+  [[nodiscard]] double probed_load(const Endpoint& endpoint, double now_ms) const;
+  EndpointIndex pick_idle_or_lesser(double mean_in_flight, double now_ms);
+  EndpointIndex draw_idle(double mean_in_flight);
+  EndpointIndex lesser_of_two(double mean_in_flight);
   [[nodiscard]] double weight(const Endpoint& endpoint) const;
-  EndpointIndex draw(double all_weights);
+  EndpointIndex draw(double sum_of_weights);
 
   PickerParts parts_;
-  bool some_repeatable_;  // among the request classes
+  bool any_class_is_repeatable_;
   std::vector<EndpointIndex> candidates_;
   RejectionReason rejection_reason_ = RejectionReason::none;
 };
--- a/src/policy/locality_router.cpp
+++ b/src/policy/locality_router.cpp
@@ -22,7 +22,7 @@
 LocalityRouter::LocalityRouter(const PolicySettings& settings, const EndpointTable& endpoints, Random& random)
     : settings_(settings), endpoints_(endpoints), random_(random) {
   double of_zone = settings.replicas / settings.zone_count;
-  filled_at_ = filled_times * ConcurrencyLimiter::uncrowded_per_endpoint(settings) / of_zone;
+  filled_at_ = filled_times * ConcurrencyLimiter::uncongested_per_endpoint(settings) / of_zone;
   peers_share_ = std::max(0.0, 1 - 1 / of_zone);
   least_spillover_ = learned_.spillover = spillover_least / std::clamp(of_zone, 1.0, spillover_over);
 }
@@ -40,7 +40,7 @@
   double near = learned_.near_utilization, far = learned_.far_utilization;
   if (peers_share_ == 0 || near == 0 || far == 0) return 0;
   double busier = std::clamp((near / far - 1) / (zone_slower - 1), 0.0, 1.0);
-  double calm = std::clamp((ConcurrencyLimiter::calm_utilization() - near) / stay_span, 0.0, 1.0);
+  double calm = std::clamp((ConcurrencyLimiter::spare_utilization() - near) / stay_span, 0.0, 1.0);
   return peers_share_ * (1 - busier) * calm;
 }
 
--- a/src/policy/request_class.hpp
+++ b/src/policy/request_class.hpp
@@ -13,7 +13,7 @@
   RequestClassSettings settings;
   double mean_log_latency = 0;  // mean log of the time taken, weights of servers taken out
   double relative_latency = 1;  // its mean time in those of the tier, whose mean is over all classes
-  int answers = 0;
+  int response_count = 0;
 };
 
 class RequestClasses {
