--- a/src/policy/admission_throttle.cpp
+++ b/src/policy/admission_throttle.cpp
@@ -3,31 +3,45 @@
 #include <algorithm>
 
 namespace meadowgauge {
+namespace {
 
-// PAPER, "sre" preset: ten seconds in which accepted calls count k times, less as an outage lasts.
-constexpr int buckets = 40;
+// The paper's "sre" preset.
+constexpr int bucket_count = 40;
 constexpr double bucket_ms = 250;
-constexpr double k_top = 1.5, k_floor = 1.1;
-constexpr double protection = 5;         // calls that never lead to a drop
-constexpr double trial_every_ms = 1000;  // one is let through this often whatever the window says
+constexpr double max_k_ratio = 1.5;         // calls per accepted call that are allowed
+constexpr double min_k_ratio = 1.1;         // the same at the end of a window of failures
+constexpr double protection_requests = 5;   // calls in the window that never lead to a drop
+constexpr double trial_interval_ms = 1000;  // one request is admitted this often in any case
+
+}  // namespace
 
 AdmissionThrottle::AdmissionThrottle(Random& random, double now_ms)
-    : random_(random), window_(buckets, bucket_ms, now_ms) {}
+    : random_(random), window_(bucket_count, bucket_ms, now_ms) {}
+
+void AdmissionThrottle::record(bool accepted, double now_ms) {
+  if (accepted) {
+    window_.add_accepted(now_ms);
+  } else {
+    window_.add_failed(now_ms);
+  }
+}
 
 double AdmissionThrottle::drop_probability(double now_ms) const {
   auto sums = window_.sums(now_ms);
-  double k = std::max(k_top - (k_top - k_floor) * sums.failing / buckets, k_floor);
-  return (sums.total - protection - k * sums.accepts) / (sums.total + 1) * (buckets - sums.working) / buckets;
+  double k = std::max(max_k_ratio - (max_k_ratio - min_k_ratio) * sums.failing / bucket_count, min_k_ratio);
+  double excess = sums.total - protection_requests - k * sums.accepts;
+  return excess / (sums.total + 1) * (bucket_count - sums.working) / bucket_count;
 }
 
-bool AdmissionThrottle::drops(bool over_quota, double now_ms) {
-  double p = drop_probability(now_ms);
-  bool trial_is_due = now_ms - last_admitted_ >= trial_every_ms;
-  if (p > 0 && !trial_is_due && (random_.uniform() < p || (over_quota && random_.uniform() < p))) {
+bool AdmissionThrottle::should_drop(bool over_quota, double now_ms) {
+  double probability = drop_probability(now_ms);
+  bool is_trial_due = now_ms - last_admitted_at_ms_ >= trial_interval_ms;
+  if (probability > 0 && !is_trial_due &&
+      (random_.uniform() < probability || (over_quota && random_.uniform() < probability))) {
     window_.add_dropped(now_ms);
     return true;
   }
-  last_admitted_ = now_ms;
+  last_admitted_at_ms_ = now_ms;
   return false;
 }
 
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -7,164 +7,219 @@
 
 namespace meadowgauge {
 
-// Where only probes tell what a server holds, each request has a few probed before it goes.
-constexpr int probes_each = 5, draws_per_probe = 3;  // drawn, of servers that may not be probed after all
-constexpr double probe_waits = 2, probe_holds = 5;   // times a probe's usual time: for it; its result is used
-constexpr double prediction_gain = 0.02, least_factor = 0.5, most_factor = 2;
-
-constexpr double hint_gain = 0.02, work_gain = 0.02, kind_gain = 0.01;
-constexpr double usual_step = 0.04;    // of the logarithm of the usual time: it follows the median
-constexpr double rejection_times = 4;  // the usual time, at a server that rejects
-
-constexpr double report_decay_ms = 3000;  // a report on how long a server takes
-constexpr double queue_decay_ms = 1000;   // the same, where it turns requests away: a queue is gone sooner
-constexpr double usual_decay_ms = 500;    // and on what is usual, with no report at all
-
-constexpr double gossip_every_ms = 400, gossip_soonest = 0.8, gossip_spread = 0.4;  // the latter of that
-
-double LoadEstimator::first_gossip_in_ms() { return random_.uniform() * gossip_every_ms; }
-
-// Any that may get the request, drawn anew for each.
+namespace {
+
+// Probes.
+constexpr int probes_per_request = 5;
+constexpr int draws_per_probe = 3;                 // attempts to draw an endpoint that may be probed
+constexpr double probe_wait_multiplier = 2;        // of a probe's mean time, for which a request waits
+constexpr double probe_fresh_multiplier = 5;       // of a probe's mean time, for which its result is used
+constexpr double probe_duration_gain = 0.02;       // of one probe
+constexpr double prediction_gain = 0.02;           // of one response
+constexpr double min_prediction_multiplier = 0.5;  // of actual over predicted latency
+constexpr double max_prediction_multiplier = 2;
+
+// Load reports.
+constexpr double hint_gain = 0.02;          // of one request's hint of its work
+constexpr double work_gain = 0.02;          // of one response
+constexpr double server_kind_gain = 0.01;   // of one response
+constexpr double median_step_ratio = 0.04;  // step of the median estimate, of its logarithm
+constexpr double rejection_latency_multiplier =
+    4;                                    // of the typical response, assumed of an endpoint that rejects
+constexpr double report_decay_ms = 3000;  // time constant with which a report loses its weight
+constexpr double queue_decay_ms = 1000;   // the same for admission: a queue is gone sooner
+constexpr double typical_decay_ms = 500;  // the same for the typical response, without any report
+
+// Gossip.
+constexpr double gossip_interval_ms = 400;
+constexpr double min_gossip_interval_share = 0.8;     // each interval is drawn from this share of it
+constexpr double gossip_interval_spread_share = 0.4;  // and over this width
+
+// Latency of a request that finds so many others before it. Reported latencies contain waiting and would
+// predict too little by themselves; the power of 1.5 makes a deeper queue count more than its depth.
+double queue_latency_ms(double depth, double mean_work_ms) { return depth * std::sqrt(depth) * mean_work_ms; }
+
+}  // namespace
+
+double LoadEstimator::first_gossip_in_ms() { return random_.uniform() * gossip_interval_ms; }
+
+// Draws endpoints that may get the request, at random for each attempt.
 bool LoadEstimator::request_probes(Request& request, Decision& decision, double now_ms) {
   const auto& listed = endpoints_.listed;
   if (!uses_probes() || request.probes_requested_for_attempt > request.attempt_count || listed.empty())
     return false;
   if (now_ms + 2 * probe_wait_ms() >= request.deadline_ms) return false;
   request.probes_requested_for_attempt = request.attempt_count + 1;
-  for (int n = 0; n < draws_per_probe * probes_each && decision.probe_count < probes_each; ++n) {
-    EndpointIndex i = listed[random_.below(listed.size())];
+  for (int n = 0; n < draws_per_probe * probes_per_request && decision.probe_count < probes_per_request;
+       ++n) {
+    EndpointIndex index = listed[random_.below(listed.size())];
     auto end = decision.probes.begin() + decision.probe_count;
-    bool chosen = std::find(decision.probes.begin(), end, i) != end;
-    const auto& endpoint = endpoints_[i];
-    if (!endpoint.is_available() || !outliers_.is_healthy(endpoint, now_ms) || has_tried(request, i) ||
-        chosen)
-      continue;
-    decision.probes[static_cast<std::size_t>(decision.probe_count++)] = i;
+    bool is_drawn = std::find(decision.probes.begin(), end, index) != end;
+    const auto& endpoint = endpoints_[index];
+    bool may_get_it =
+        endpoint.is_available() && outliers_.is_healthy(endpoint, now_ms) && !has_tried(request, index);
+    if (is_drawn || !may_get_it) continue;
+    decision.probes[static_cast<std::size_t>(decision.probe_count++)] = index;
   }
   if (decision.probe_count > 0) decision.kind = Decision::wait;
   return decision.probe_count > 0;
 }
 
-double LoadEstimator::probe_wait_ms() const { return settings_.wire_tick_ms + probe_waits * probe_took_ms_; }
+double LoadEstimator::probe_wait_ms() const {
+  return settings_.wire_tick_ms + probe_wait_multiplier * mean_probe_ms_;
+}
 
 void LoadEstimator::probe_ended(EndpointIndex index, Outcome outcome, double took_ms,
                                 const LoadReport& report, double now_ms) {
   if (!uses_probes() || !endpoints_.knows(index)) return;
   auto column = static_cast<std::size_t>(settings_.probe_column);
-  bool known =
+  bool has_load =
       outcome == Outcome::succeeded && settings_.probe_column < report.count && report.values[column] >= 0;
-  endpoints_[index].load.probed_load = known ? report.values[column] : never;
+  endpoints_[index].load.probed_load = has_load ? report.values[column] : never;
   endpoints_[index].load.probed_at_ms = now_ms;
-  if (known) probe_took_ms_ += prediction_gain * (took_ms - probe_took_ms_);
+  if (has_load) mean_probe_ms_ += probe_duration_gain * (took_ms - mean_probe_ms_);
 }
 
 bool LoadEstimator::has_fresh_probe(const Endpoint& endpoint, double now_ms) const {
-  return uses_probes() &&
-         now_ms - endpoint.load.probed_at_ms <= 2 * settings_.wire_tick_ms + probe_holds * probe_took_ms_;
+  double max_age_ms = 2 * settings_.wire_tick_ms + probe_fresh_multiplier * mean_probe_ms_;
+  return uses_probes() && now_ms - endpoint.load.probed_at_ms <= max_age_ms;
 }
 
 double LoadEstimator::predicted_ms(const Request& request, const Endpoint& endpoint,
                                    double capacity_fraction) const {
   double own_work_ms = request.work_ms > 0 ? request.work_ms : mean_work_ms_;
-  return prediction_factor_ * (endpoint.load.probed_load * mean_work_ms_ + own_work_ms) / capacity_fraction;
+  return prediction_multiplier_ * (endpoint.load.probed_load * mean_work_ms_ + own_work_ms) /
+         capacity_fraction;
 }
 
 void LoadEstimator::record_hint(double work_ms) {
   if (work_ms > 0) blend(mean_work_ms_, work_ms, hint_gain);
 }
 
-// The latest report on a server is the one that counts, whoever it is from: nothing adds up, so that nothing
-// that comes round is counted twice.
+// The latest report on an endpoint replaces the one before, whoever sent it: nothing adds up, so that nothing
+// that arrives twice counts twice.
 void LoadEstimator::record_attempt(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report,
                                    double now_ms) {
   if (!uses_load_reports()) return;
-  bool succeeded = attempt.outcome == Outcome::succeeded;
+  bool has_succeeded = attempt.outcome == Outcome::succeeded;
+  if (has_succeeded && settings_.depth_column < report.count) record_depth(endpoint, attempt, report, now_ms);
+  bool is_overloaded = record_overload(endpoint, attempt, now_ms);
+  outliers_.record_for_report(endpoint, !has_succeeded, is_overloaded, now_ms);
+  endpoint.load.reported_at_ms = now_ms;
+}
+
+// Raises the expected latency of an endpoint that rejected an attempt or let it time out. Returns whether
+// that is a sign of overload and not of a fault: an overloaded endpoint must not be ejected, or its keys
+// would move to others and cost more there.
+bool LoadEstimator::record_overload(Endpoint& endpoint, const Attempt& attempt, double now_ms) {
   auto& load = endpoint.load;
-  if (succeeded && settings_.depth_column < report.count) record_depth(endpoint, attempt, report, now_ms);
-  // One that was known to take long is overloaded, not at fault: its keys would wander and cost all the more.
-  bool overloaded = attempt.outcome == Outcome::rejected;
-  if (overloaded) load.response_ms = std::max(load.response_ms, rejection_times * typical_response_ms_);
+  if (attempt.outcome == Outcome::rejected) {
+    load.response_ms = std::max(load.response_ms, rejection_latency_multiplier * typical_response_ms_);
+    return true;
+  }
   if (attempt.outcome == Outcome::timeout) {
-    double took = now_ms - attempt.sent_at_ms, known = response_ms(endpoint, now_ms);
-    overloaded = 2 * known > took;
-    load.response_ms = std::max(known, took);
+    double waited_ms = now_ms - attempt.sent_at_ms;
+    double expected_ms = response_ms(endpoint, now_ms);
+    load.response_ms = std::max(expected_ms, waited_ms);
+    return 2 * expected_ms > waited_ms;
   }
-  outliers_.record_for_report(endpoint, !succeeded, overloaded, now_ms);
-  load.reported_at_ms = now_ms;
+  return false;
 }
 
-// The time that is told has waiting in it, and foretold little; what waits did.
+// Learns from the queue depth that a response reports: the mean work of a place in the queue, the endpoint's
+// expected latency, and how its server kind compares with the others.
 void LoadEstimator::record_depth(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report,
                                  double now_ms) {
-  double ahead = std::max(0.0f, report.values[static_cast<std::size_t>(settings_.depth_column)]) + 1;
-  double work_ms = std::max(1.0, now_ms - attempt.sent_at_ms) / ahead;
+  double depth = std::max(0.0F, report.values[static_cast<std::size_t>(settings_.depth_column)]) + 1;
+  double work_ms = std::max(1.0, now_ms - attempt.sent_at_ms) / depth;
   blend(mean_work_ms_, work_ms, std::max(work_gain, 1.0 / ++work_samples_));
-  double response_ms = ahead * std::sqrt(ahead) * mean_work_ms_;
-  if (!std::isfinite(response_ms)) return;
-  endpoint.load.response_ms = response_ms;
+  double expected_ms = queue_latency_ms(depth, mean_work_ms_);
+  if (!std::isfinite(expected_ms)) return;
+  endpoint.load.response_ms = expected_ms;
   update_typical_response(endpoint, now_ms, now_ms);
   auto& kind = server_kind_latency_[static_cast<std::size_t>(endpoint.server_kind)];
-  kind.value +=
-      std::max(kind_gain, 1.0 / ++kind.samples) * (work_ms / std::max(1.0, mean_work_ms_) - kind.value);
+  double gain = std::max(server_kind_gain, 1.0 / ++kind.samples);
+  kind.ratio += gain * (work_ms / std::max(1.0, mean_work_ms_) - kind.ratio);
 }
 
+// Moves the estimate of the median response time by a fixed step of its logarithm, up or down, for each
+// report. Latencies are scaled to an endpoint of mean weight.
 void LoadEstimator::update_typical_response(const Endpoint& endpoint, double reported_at_ms, double now_ms) {
   if (now_ms - reported_at_ms > report_decay_ms) return;
   typical_reported_at_ms_ = std::max(typical_reported_at_ms_, reported_at_ms);
   double response_ms = endpoint.load.response_ms * endpoint.weight / endpoints_.mean_weight;
-  double step = std::exp(response_ms > typical_response_ms_ ? usual_step : -usual_step);
-  typical_response_ms_ = typical_response_ms_ == 0 ? response_ms : typical_response_ms_ * step;
+  double factor = std::exp(response_ms > typical_response_ms_ ? median_step_ratio : -median_step_ratio);
+  typical_response_ms_ = typical_response_ms_ == 0 ? response_ms : typical_response_ms_ * factor;
 }
 
 void LoadEstimator::record_duration(const Attempt& attempt, double took_ms) {
   if (mean_work_ms_ == 0) mean_work_ms_ = took_ms;
   if (attempt.expected_ms <= 0) return;
-  double factor = prediction_factor_ * (1 + prediction_gain * (took_ms / attempt.expected_ms - 1));
-  prediction_factor_ = std::clamp(factor, least_factor, most_factor);
+  double error = took_ms / attempt.expected_ms - 1;
+  double multiplier = prediction_multiplier_ * (1 + prediction_gain * error);
+  prediction_multiplier_ = std::clamp(multiplier, min_prediction_multiplier, max_prediction_multiplier);
 }
 
-double LoadEstimator::response_ms(const Endpoint& e, double now_ms) const {
-  return decayed_ms(e, now_ms, report_decay_ms);
+double LoadEstimator::response_ms(const Endpoint& endpoint, double now_ms) const {
+  return decayed_ms(endpoint, now_ms, report_decay_ms);
 }
 
-double LoadEstimator::queue_ms(const Endpoint& e, double now_ms) const {
-  return decayed_ms(e, now_ms, queue_decay_ms);
+double LoadEstimator::queue_ms(const Endpoint& endpoint, double now_ms) const {
+  return decayed_ms(endpoint, now_ms, queue_decay_ms);
 }
 
+// The latency typical of an endpoint of this weight. Without any report it decays to the mean work: where all
+// endpoints reject requests no report comes, and the last ones show an overload that may be over.
+double LoadEstimator::typical_ms_of(const Endpoint& endpoint, double now_ms) const {
+  double left = std::exp((typical_reported_at_ms_ - now_ms) / typical_decay_ms);
+  double typical_ms = mean_work_ms_ + (typical_response_ms_ - mean_work_ms_) * left;
+  return std::max(1.0, typical_ms * endpoints_.mean_weight / endpoint.weight);
+}
+
+// The reported latency, decaying towards the typical one with the report's age.
 double LoadEstimator::decayed_ms(const Endpoint& endpoint, double now_ms, double decay_ms) const {
-  // Where all turn requests away no report comes, and the last ones told of an overload long gone.
-  double usual_left = std::exp((typical_reported_at_ms_ - now_ms) / usual_decay_ms);
-  double usual = mean_work_ms_ + (typical_response_ms_ - mean_work_ms_) * usual_left;
-  usual = std::max(1.0, usual * endpoints_.mean_weight / endpoint.weight);
+  double typical_ms = typical_ms_of(endpoint, now_ms);
   const auto& load = endpoint.load;
-  if (!(load.response_ms > 0)) return usual;
-  return usual + (load.response_ms - usual) * std::exp((load.reported_at_ms - now_ms) / decay_ms);
+  if (!(load.response_ms > 0)) return typical_ms;
+  double left = std::exp((load.reported_at_ms - now_ms) / decay_ms);
+  return typical_ms + (load.response_ms - typical_ms) * left;
 }
 
 std::optional<GossipMessage> LoadEstimator::gossip_due(double now_ms) {
-  if (!gossips_ || now_ms < gossip_at_ms_) return {};
-  gossip_at_ms_ = now_ms + gossip_every_ms * (gossip_soonest + gossip_spread * random_.uniform());
-  std::vector<EndpointIndex> fresh;
-  for (EndpointIndex i : endpoints_.listed)
-    if (now_ms - endpoints_[i].load.reported_at_ms <
-        outliers_.report_lasts_ms(endpoints_[i], report_decay_ms))
-      fresh.push_back(i);
+  if (!has_gossip_ || now_ms < gossip_at_ms_) return {};
+  double interval_share = min_gossip_interval_share + gossip_interval_spread_share * random_.uniform();
+  gossip_at_ms_ = now_ms + gossip_interval_ms * interval_share;
+  auto fresh = freshest_reports(now_ms);
   if (fresh.empty()) return {};
-  auto at = [this](EndpointIndex i) { return endpoints_[i].load.reported_at_ms; };
-  std::sort(fresh.begin(), fresh.end(), [&](EndpointIndex a, EndpointIndex b) { return at(a) > at(b); });
-  fresh.resize(std::min(fresh.size(), max_gossip_endpoints));
   GossipMessage message;
-  for (EndpointIndex i : fresh) message.content.endpoints.push_back(report_on(endpoints_[i], now_ms));
+  for (EndpointIndex index : fresh) message.content.endpoints.push_back(report_on(endpoints_[index], now_ms));
   int other = static_cast<int>(random_.uniform() * (settings_.replicas - 1));
-  message.to = other + (other >= settings_.own_number);
+  message.to = other + (other >= settings_.own_number ? 1 : 0);
   return message;
 }
 
-// Of a server that is not in the own list nothing is kept: hearsay lets nobody send.
+// Endpoints with a report fresh enough to be passed on, the latest first, as many as a message holds.
+std::vector<EndpointIndex> LoadEstimator::freshest_reports(double now_ms) const {
+  std::vector<EndpointIndex> fresh;
+  for (EndpointIndex index : endpoints_.listed) {
+    const auto& endpoint = endpoints_[index];
+    double age_ms = now_ms - endpoint.load.reported_at_ms;
+    if (age_ms < outliers_.report_lasts_ms(endpoint, report_decay_ms)) fresh.push_back(index);
+  }
+  auto is_later = [this](EndpointIndex a, EndpointIndex b) {
+    return endpoints_[a].load.reported_at_ms > endpoints_[b].load.reported_at_ms;
+  };
+  std::sort(fresh.begin(), fresh.end(), is_later);
+  fresh.resize(std::min(fresh.size(), max_gossip_endpoints));
+  return fresh;
+}
+
+// Takes a report that is later than the own one. Reports on endpoints outside the own list are dropped: no
+// request goes to an endpoint on gossip alone.
 void LoadEstimator::gossip_received(const std::vector<EndpointReport>& reports, double now_ms) {
   for (const auto& report : reports) {
-    auto is_meant = [&](EndpointIndex i) { return endpoints_[i].id == report.id; };
-    auto it = std::find_if(endpoints_.listed.begin(), endpoints_.listed.end(), is_meant);
+    auto has_id = [&](EndpointIndex index) { return endpoints_[index].id == report.id; };
+    auto it = std::find_if(endpoints_.listed.begin(), endpoints_.listed.end(), has_id);
     if (it == endpoints_.listed.end()) continue;
     auto& endpoint = endpoints_[*it];
     double reported_at_ms = now_ms - report.age_ms;
@@ -172,7 +227,7 @@
     endpoint.load.reported_at_ms = reported_at_ms;
     endpoint.outlier.failure_share = report.failure_share;
     endpoint.load.response_ms = report.response_ms;
-    // From others too: one that turned all away for what it had met at the start learned nothing else.
+    // A balancer that rejects everything after its start learns the typical response from others alone.
     if (report.response_ms > 0) update_typical_response(endpoint, reported_at_ms, now_ms);
   }
 }
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -1,5 +1,5 @@
-// The load estimator: what is known of the work that waits at each endpoint, from load reports, probes and
-// gossip, and how old that is.
+// What is known of the work that waits at each endpoint, from probes, load reports and gossip, and how old it
+// is. Design: docs/design.md, "Load reports" and "One of many".
 #pragma once
 
 #include <cmath>
@@ -13,7 +13,7 @@
 
 namespace meadowgauge {
 
-// What stands in that column; nothing where there is none or it makes no sense.
+// The finite, non-negative value in that column of a report; nothing where there is none.
 inline std::optional<double> value_at(const LoadReport& report, int column) {
   if (column < 0 || column >= report.count) return {};
   double value = report.values[static_cast<std::size_t>(column)];
@@ -21,85 +21,100 @@
   return value;
 }
 
+// Three sources, by what the deployment allows:
+//
+//  probes        Before an attempt a few endpoints are asked how many requests they hold; the prediction is
+//                f * (held * mean work + own work) / capacity fraction, f corrected by actual latencies.
+//  load reports  Responses carry the queue depth; the expected latency is depth^1.5 * mean work.
+//  gossip        Other balancers pass on their latest load reports.
+//
+// A report's weight decays exponentially with its age towards the typical (median) response of all endpoints.
 class LoadEstimator {
  public:
-  // All arguments have to outlive it.
+  // All arguments must outlive the estimator.
   LoadEstimator(const PolicySettings& settings, EndpointTable& endpoints, const OutlierDetector& outliers,
                 Random& random, double now_ms)
       : settings_(settings),
         endpoints_(endpoints),
         outliers_(outliers),
         random_(random),
-        gossips_(uses_load_reports() && settings.peer_messages && settings.replicas > 1),
-        gossip_at_ms_(gossips_ ? now_ms + first_gossip_in_ms() : never),
-        probe_took_ms_(settings.wire_tick_ms) {}
+        has_gossip_(uses_load_reports() && settings.peer_messages && settings.replicas > 1),
+        gossip_at_ms_(has_gossip_ ? now_ms + first_gossip_in_ms() : never),
+        mean_probe_ms_(settings.wire_tick_ms) {}
 
-  // Whether only probes tell what an endpoint holds; whether responses tell what waits there.
+  // Whether load is known from probes alone; whether responses report queue depths.
   [[nodiscard]] bool uses_probes() const { return settings_.probe_column >= 0; }
   [[nodiscard]] bool uses_load_reports() const { return settings_.depth_column >= 0; }
 
-  // Probes. ask_probes(): for the request's next attempt, once; true: some were asked for, and the decision
-  // is to wait for them.
+  // Adds the probes for the request's next attempt to `decision`, once per attempt. Returns whether it added
+  // any; the decision is then to wait for them.
   bool request_probes(Request& request, Decision& decision, double now_ms);
+  // How long a request waits for its probes.
   [[nodiscard]] double probe_wait_ms() const;
   void probe_ended(EndpointIndex index, Outcome outcome, double took_ms, const LoadReport& report,
                    double now_ms);
+  // Whether the endpoint's last probe is recent enough to be used.
   [[nodiscard]] bool has_fresh_probe(const Endpoint& endpoint, double now_ms) const;
-  // How long a request is thought to take, by the last probe; `speed`: the endpoint's part of its full work.
+  // Predicted latency by the last probe. `capacity_fraction` is that of a warming endpoint, 0 to 1.
   [[nodiscard]] double predicted_ms(const Request& request, const Endpoint& endpoint,
                                     double capacity_fraction) const;
 
-  // A request has come with a hint of what it costs.
+  // A request has arrived with a hint of its work; 0: none.
   void record_hint(double work_ms);
-  // An attempt that was sent has ended, whatever came of it.
+  // An attempt that was sent has ended, with whatever outcome. Takes its load report.
   void record_attempt(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report, double now_ms);
-  // A success has taken so long.
+  // An attempt has succeeded after `took_ms`. Corrects the predictions.
   void record_duration(const Attempt& attempt, double took_ms);
-  // There are server kinds up to this one.
+  // Makes room for a server kind. To be called before record_attempt() with one of its endpoints.
   void add_server_kind(int kind) {
     if (kind >= static_cast<int>(server_kind_latency_.size()))
       server_kind_latency_.resize(static_cast<std::size_t>(kind) + 1);
   }
 
-  // How long a request takes there, by the latest report, less of that as it grows old; the second loses it
-  // sooner.
-  [[nodiscard]] double response_ms(const Endpoint& e, double now_ms) const;
-  [[nodiscard]] double queue_ms(const Endpoint& e, double now_ms) const;
+  // Expected latency at the endpoint by its latest report, for the pick; for admission, where a report loses
+  // its weight sooner.
+  [[nodiscard]] double response_ms(const Endpoint& endpoint, double now_ms) const;
+  [[nodiscard]] double queue_ms(const Endpoint& endpoint, double now_ms) const;
+  // Estimated median of the reported latencies of all endpoints; 0: not known.
   [[nodiscard]] double typical_response_ms() const { return typical_response_ms_; }
-  // A kind's time for a request over that of all kinds.
+  // Latency of a server kind over that of all kinds.
   [[nodiscard]] double server_kind_latency_ratio(int kind) const {
-    return server_kind_latency_[static_cast<std::size_t>(kind)].value;
+    return server_kind_latency_[static_cast<std::size_t>(kind)].ratio;
   }
-  // How busy the endpoint of a success says it is, 0 to 1.
+  // Utilization of its endpoint that a response reports, 0 to 1; nothing where it reports none.
   [[nodiscard]] std::optional<double> utilization(const LoadReport& report) const {
     return value_at(report, settings_.utilization_column);
   }
 
-  // What is to be told to another balancer now, without keys.
+  // The message for another balancer, where one is due now; its key shares are left to the caller.
   std::optional<GossipMessage> gossip_due(double now_ms);
   void gossip_received(const std::vector<EndpointReport>& reports, double now_ms);
 
  private:
   struct ServerKindLatency {
-    double value = 1;
+    double ratio = 1;
     int samples = 0;
   };
   [[nodiscard]] double first_gossip_in_ms();
+  bool record_overload(Endpoint& endpoint, const Attempt& attempt, double now_ms);
   void record_depth(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report, double now_ms);
   void update_typical_response(const Endpoint& endpoint, double reported_at_ms, double now_ms);
+  [[nodiscard]] double typical_ms_of(const Endpoint& endpoint, double now_ms) const;
   [[nodiscard]] double decayed_ms(const Endpoint& endpoint, double now_ms, double decay_ms) const;
+  [[nodiscard]] std::vector<EndpointIndex> freshest_reports(double now_ms) const;
 
   const PolicySettings& settings_;
   EndpointTable& endpoints_;
   const OutlierDetector& outliers_;
   Random& random_;
-  bool gossips_;
+  bool has_gossip_;
   double gossip_at_ms_;
-  double probe_took_ms_;
-  double prediction_factor_ = 1;  // real over predicted durations
-  double mean_work_ms_ = 0;       // 0: not known
+  double mean_probe_ms_;              // mean time that a probe takes
+  double prediction_multiplier_ = 1;  // actual over predicted latency
+  double mean_work_ms_ = 0;           // of one request, without waiting; 0: not known
   int work_samples_ = 0;
-  double typical_response_ms_ = 0, typical_reported_at_ms_ = 0;
+  double typical_response_ms_ = 0;
+  double typical_reported_at_ms_ = 0;
   std::vector<ServerKindLatency> server_kind_latency_ = {{}};  // by server kind
 };
 
--- a/src/policy/locality_router.cpp
+++ b/src/policy/locality_router.cpp
@@ -7,76 +7,111 @@
 #include "policy/moving_average.hpp"
 
 namespace meadowgauge {
+namespace {
 
-constexpr double spillover_least = 0.03;  // of all balancers of the zone, over up to so many of them
-constexpr double spillover_over = 10;
-constexpr double filled_times = 0.7;  // of what is no overload: a zone whose servers hold that spills at once
-constexpr double spillover_up = 0.01, spillover_down = 0.005;  // each tick
-constexpr double spillover_gain = 0.15;                        // of what the own zone is busier
-constexpr double report_fresh_ms = 1500;  // a zone's reported load is as old as this where little comes
-constexpr double report_gain_least = 0.04, report_gain_most = 0.5, duration_gain = 0.008;
-constexpr double zone_busy = 0.5;     // a zone less utilized spills no more than the least
-constexpr double zone_slower = 1.25;  // own zone's mean over the others'
-constexpr double stay_span = 0.2;     // of utilization below the calm, over which a filled part means less
+// Spillover share.
+constexpr double min_zone_spillover_share = 0.03;    // of the picks of all balancers of a zone together
+constexpr double max_spillover_replicas_count = 10;  // balancers over which that share is divided at most
+constexpr double latency_spillover_rate = 0.01;      // rise a tick, where only latencies are known
+constexpr double spillover_decay_rate = 0.005;       // fall a tick
+constexpr double spillover_gain = 0.15;              // rise a tick, of the excess utilization
+constexpr double min_busy_utilization_ratio = 0.5;   // below it a zone has no excess
+constexpr double max_zone_imbalance_ratio = 1.25;    // own zone over the others, in utilization or latency
+
+// Saturated zone.
+constexpr double saturated_multiplier = 0.7;  // of the uncongested number in flight per endpoint
+constexpr double preference_span_utilization_ratio =
+    0.2;  // below spare utilization, over which preference grows
+
+// Moving averages.
+constexpr double report_fresh_ms = 1500;  // time constant with which a zone's utilization follows reports
+constexpr double min_report_gain = 0.04;  // of one report
+constexpr double max_report_gain = 0.5;
+constexpr double duration_gain = 0.008;  // of one response
+
+}  // namespace
 
 LocalityRouter::LocalityRouter(const PolicySettings& settings, const EndpointTable& endpoints, Random& random)
     : settings_(settings), endpoints_(endpoints), random_(random) {
-  double of_zone = settings.replicas / settings.zone_count;
-  filled_at_ = filled_times * ConcurrencyLimiter::uncongested_per_endpoint(settings) / of_zone;
-  peers_share_ = std::max(0.0, 1 - 1 / of_zone);
-  least_spillover_ = learned_.spillover = spillover_least / std::clamp(of_zone, 1.0, spillover_over);
+  double zone_replicas = settings.replicas / settings.zone_count;
+  double uncongested = ConcurrencyLimiter::uncongested_per_endpoint(settings);
+  saturated_requests_ = saturated_multiplier * uncongested / zone_replicas;
+  peers_share_ = std::max(0.0, 1 - 1 / zone_replicas);
+  min_spillover_share_ =
+      min_zone_spillover_share / std::clamp(zone_replicas, 1.0, max_spillover_replicas_count);
+  learned_.spillover = min_spillover_share_;
 }
 
-// Reports tell a second late of a zone with more traffic than servers; own requests tell at once.
-bool LocalityRouter::own_zone_filled(const std::vector<EndpointIndex>& candidates, double on_top) const {
-  return std::ranges::all_of(candidates, [&](EndpointIndex i) {
-    return is_remote(endpoints_[i]) || endpoints_[i].in_flight >= filled_at_ + on_top;
+// Whether every local candidate holds at least the saturated number of own requests, and `extra_requests`
+// more. Own requests show at once what load reports show a second late.
+bool LocalityRouter::is_local_saturated(const std::vector<EndpointIndex>& candidates,
+                                        double extra_requests) const {
+  return std::ranges::all_of(candidates, [&](EndpointIndex index) {
+    const auto& endpoint = endpoints_[index];
+    return is_remote(endpoint) || endpoint.in_flight >= saturated_requests_ + extra_requests;
   });
 }
 
-// A part of under one request is filled with a single one, which says little of what the zone holds: by the
-// share of its balancers that are not this one a second goes near, while the zone is not busy.
-double LocalityRouter::stay_probability() const {
-  double near = learned_.near_utilization, far = learned_.far_utilization;
+// Probability with which a pick stays local for a second request per endpoint, although the zone counts as
+// saturated. A part of under one request is saturated by a single one, which says little about the zone.
+//
+//   peers' share * (1 - imbalance) * spare,   imbalance and spare within 0 and 1:
+//   imbalance = (own utilization / others' - 1) / 0.25
+//   spare     = (spare utilization - own utilization) / 0.2
+double LocalityRouter::local_preference() const {
+  double near = learned_.near_utilization;
+  double far = learned_.far_utilization;
   if (peers_share_ == 0 || near == 0 || far == 0) return 0;
-  double busier = std::clamp((near / far - 1) / (zone_slower - 1), 0.0, 1.0);
-  double calm = std::clamp((ConcurrencyLimiter::spare_utilization() - near) / stay_span, 0.0, 1.0);
-  return peers_share_ * (1 - busier) * calm;
+  double imbalance = std::clamp((near / far - 1) / (max_zone_imbalance_ratio - 1), 0.0, 1.0);
+  double spare_utilization = ConcurrencyLimiter::spare_utilization() - near;
+  double spare = std::clamp(spare_utilization / preference_span_utilization_ratio, 0.0, 1.0);
+  return peers_share_ * (1 - imbalance) * spare;
+}
+
+bool LocalityRouter::should_stay_local(const std::vector<EndpointIndex>& candidates) {
+  double preference = local_preference();
+  if (!is_local_saturated(candidates, 0)) return true;
+  return preference > 0 && random_.uniform() < preference && !is_local_saturated(candidates, 1);
 }
 
 void LocalityRouter::restrict_to_local(std::vector<EndpointIndex>& candidates) {
   if (!has_cross_zone_cost() || random_.uniform() < learned_.spillover) return;
-  double stay = stay_probability();
-  if (!own_zone_filled(candidates, 0) ||
-      (stay > 0 && random_.uniform() < stay && !own_zone_filled(candidates, 1)))
-    std::erase_if(candidates, [this](EndpointIndex i) { return is_remote(endpoints_[i]); });
+  if (!should_stay_local(candidates)) return;
+  std::erase_if(candidates, [this](EndpointIndex index) { return is_remote(endpoints_[index]); });
 }
 
-// Where little comes the mean follows by the time: the few requests that cross told of other zones half a
-// minute late.
+// The gain grows with the time since the last report, so that the average follows by time and not by the
+// number of reports: at one of many balancers only a few requests cross zones.
 void LocalityRouter::record_utilization(const Endpoint& endpoint, double utilization, double now_ms) {
-  bool far = is_remote(endpoint);
-  double& reported_at_ms = far ? far_reported_at_ms_ : near_reported_at_ms_;
+  bool remote = is_remote(endpoint);
+  double& reported_at_ms = remote ? far_reported_at_ms_ : near_reported_at_ms_;
   double gain = 1 - std::exp((reported_at_ms - now_ms) / report_fresh_ms);
-  gain = std::clamp(gain, report_gain_least, report_gain_most);
-  blend(far ? learned_.far_utilization : learned_.near_utilization, utilization, gain);
+  gain = std::clamp(gain, min_report_gain, max_report_gain);
+  blend(remote ? learned_.far_utilization : learned_.near_utilization, utilization, gain);
   reported_at_ms = now_ms;
 }
 
 void LocalityRouter::record_duration(const Endpoint& endpoint, double took_ms) {
-  if (has_cross_zone_cost())
-    blend(is_remote(endpoint) ? learned_.far_ms : learned_.near_ms, took_ms, duration_gain);
+  if (!has_cross_zone_cost()) return;
+  blend(is_remote(endpoint) ? learned_.far_ms : learned_.near_ms, took_ms, duration_gain);
+}
+
+// How much busier the own zone is than it may be, in utilization; negative: it is not. Latencies alone show
+// only whether it is, so that the excess then has a fixed size.
+double LocalityRouter::excess_utilization() const {
+  if (learned_.far_utilization > 0) {
+    double allowed =
+        std::max(min_busy_utilization_ratio, max_zone_imbalance_ratio * learned_.far_utilization);
+    return learned_.near_utilization - allowed;
+  }
+  bool is_slower = learned_.near_ms > max_zone_imbalance_ratio * learned_.far_ms;
+  return is_slower ? latency_spillover_rate / spillover_gain : -1;
 }
 
-// By how much busier the own zone is than it may be; by durations it is only known whether.
 void LocalityRouter::tick() {
   if (!has_cross_zone_cost()) return;
-  const auto& l = learned_;
-  double fuller = l.near_ms > zone_slower * l.far_ms ? spillover_up / spillover_gain : -1;
-  if (l.far_utilization > 0)
-    fuller = l.near_utilization - std::max(zone_busy, zone_slower * l.far_utilization);
-  double step = std::max(spillover_gain * fuller, -spillover_down);
-  learned_.spillover = std::clamp(l.spillover + step, least_spillover_, 1.0);
+  double step = std::max(spillover_gain * excess_utilization(), -spillover_decay_rate);
+  learned_.spillover = std::clamp(learned_.spillover + step, min_spillover_share_, 1.0);
 }
 
 }  // namespace meadowgauge
--- a/src/policy/moving_average.hpp
+++ b/src/policy/moving_average.hpp
@@ -1,9 +1,10 @@
-// Means that follow what is new.
+// Exponential moving averages.
 #pragma once
 
 namespace meadowgauge {
 
-// Moves `mean` towards `sample` by `gain`; the first sample is the mean. Not above 0: there was none yet.
+// Moves `mean` towards `sample` by `gain`, 0 to 1. A mean of 0 or below has no sample yet and takes the first
+// one.
 inline void blend(double& mean, double sample, double gain) {
   mean += (mean > 0 ? gain : 1) * (sample - mean);
 }
--- a/src/policy/outcome_window.cpp
+++ b/src/policy/outcome_window.cpp
@@ -6,10 +6,10 @@
 namespace meadowgauge {
 
 OutcomeWindow::OutcomeWindow(int buckets, double bucket_ms, double now_ms)
-    : bucket_ms_(bucket_ms), started_(now_ms), ring_(static_cast<std::size_t>(buckets)) {}
+    : bucket_ms_(bucket_ms), started_at_ms_(now_ms), ring_(static_cast<std::size_t>(buckets)) {}
 
 std::int64_t OutcomeWindow::slot_at(double now_ms) const {
-  return static_cast<std::int64_t>(std::floor(std::max(0.0, now_ms - started_) / bucket_ms_));
+  return static_cast<std::int64_t>(std::floor(std::max(0.0, now_ms - started_at_ms_) / bucket_ms_));
 }
 
 std::size_t OutcomeWindow::index_of(std::int64_t slot) const {
@@ -39,8 +39,10 @@
 
 OutcomeWindow::Sums OutcomeWindow::sums(double now_ms) const {
   Sums sums;
-  bool all_failed = true, all_worked = true;
-  auto newest = slot_at(now_ms), oldest = newest - static_cast<std::int64_t>(ring_.size()) + 1;
+  bool all_failed = true;
+  bool all_worked = true;
+  auto newest = slot_at(now_ms);
+  auto oldest = newest - static_cast<std::int64_t>(ring_.size()) + 1;
   for (auto slot = newest; slot >= std::max<std::int64_t>(0, oldest); --slot) {
     const auto& bucket = ring_[index_of(slot)];
     if (bucket.slot != slot) continue;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -19,7 +19,8 @@
     retries.record_arrival();
     request.over_quota = quotas.exceeds_quota(request.tenant, now_ms);
     load.record_hint(request.work_ms);
-    if (throttle.drops(request.over_quota, now_ms)) return finish(request, RejectionReason::throttle, now_ms);
+    if (throttle.should_drop(request.over_quota, now_ms))
+      return finish(request, RejectionReason::throttle, now_ms);
   } else if (request.in_flight > 0) {
     return hedge(request, now_ms);
   }
