--- a/bench/baselines/plain.cpp
+++ b/bench/baselines/plain.cpp
@@ -9,7 +9,8 @@
 using baselines::most_repeats;
 using baselines::State;
 
-struct Policy::Core {
+class Policy::Core {
+ public:
   struct RequestClass {
     bool idempotent = false;
   };
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -1,5 +1,4 @@
-// The endpoints as one balancer knows them. The state of each concern is written by that concern's class
-// alone.
+// The endpoints as one balancer knows them. Each part of an endpoint's state is written by one class.
 #pragma once
 
 #include <algorithm>
@@ -10,67 +9,74 @@
 
 namespace meadowgauge {
 
-// Of the outlier detector. Counts fade with time.
+// Written by OutlierDetector. The first four values decay with time.
 struct OutlierState {
-  double successes = 0, failures = 0;
-  double log_latency_excess = 0,
-         latency_samples = 0;  // sum of log excess over the usual time, and of how many
-  double decayed_at_ms = 0;    // up to when the four above have faded
-  double ejected_until_ms = 0, healthy_since_ms = 0;
-  int ejections = 0;         // in a row
-  bool on_trial = false;     // was ejected, and has not succeeded since
-  double failure_share = 0;  // by the latest report, whoever it is from
+  double successes = 0;
+  double failures = 0;
+  double log_latency_excess = 0;  // sum of log latencies over the class's mean
+  double latency_samples = 0;     // how many that sum holds
+  double decayed_at_ms = 0;       // time up to which the four have decayed
+  double ejected_until_ms = 0;
+  double healthy_since_ms = 0;
+  int ejections = 0;         // consecutive
+  bool on_trial = false;     // ejected before, without a success since
+  double failure_share = 0;  // by the latest report, own or another balancer's, 0 to 1
 };
 
-// Of slow start.
+// Written by SlowStart.
 struct SlowStartState {
-  double tokens = 0, refilled_at_ms = 0;
-  double failed_at_ms = -never;  // the last attempt that did not succeed
-  double success_rate = 0;       // sum of own successes, fading
+  double tokens = 0;  // requests
+  double refilled_at_ms = 0;
+  double failed_at_ms = -never;  // end of the last attempt that did not succeed
+  double success_rate = 0;       // decaying sum of own successes
 };
 
-// Of the load estimator.
+// Written by LoadEstimator.
 struct LoadState {
-  double probed_load =
-      0;  // requests it held at the last probe and what was sent since; never: it did not tell
+  double probed_load = 0;  // requests held at the last probe, and sent since; never: the probe did not tell
   double probed_at_ms = -never;
   double response_ms = 0;  // by the latest report; 0: not known
   double reported_at_ms = -never;
-  double expected_ms = 1;  // worked out at each pick
+  double expected_ms = 1;  // computed at each pick
 };
 
 struct Endpoint {
   // As listed.
-  int zone = 0, cell = 0, server_kind = 0;
+  int zone = 0;
+  int cell = 0;
+  int server_kind = 0;
   EndpointState state = EndpointState::gone;
-  double up_since_ms = 0, weight = 1;
-  std::uint32_t id = 0;  // what gossip calls it
+  double up_since_ms = 0;
+  double weight = 1;
+  std::uint32_t id = 0;  // in gossip
 
-  // By an operator.
+  // Drained by an operator.
   bool manually_drained = false;
   double drained_at_ms = -never;
-  double undrained_at_ms = -never;  // put back, and not tried since
+  double undrained_at_ms = -never;  // end of the drain, until an attempt goes there
 
   int in_flight = 0;                   // own attempts
-  bool awaiting_first_outcome = true;  // no outcome yet since it was new or restarted
-  double last_sign_at_ms = 0;          // of life, or when it was first given something to do
+  bool awaiting_first_outcome = true;  // no outcome since it was new or restarted
+  double last_sign_at_ms = 0;          // last byte or outcome, or first attempt after being idle
 
   OutlierState outlier;
   SlowStartState slow_start;
   LoadState load;
 
+  // Listed as ready, and not drained by an operator.
   [[nodiscard]] bool is_available() const { return state == EndpointState::ready && !manually_drained; }
 };
 
 class EndpointTable {
  public:
-  Endpoint& operator[](EndpointIndex i) { return all_[position_of(i)]; }
-  const Endpoint& operator[](EndpointIndex i) const { return all_[position_of(i)]; }
+  Endpoint& operator[](EndpointIndex index) { return all_[position_of(index)]; }
+  const Endpoint& operator[](EndpointIndex index) const { return all_[position_of(index)]; }
   [[nodiscard]] bool knows(EndpointIndex i) const {
     return i >= EndpointIndex{0} && position_of(i) < all_.size();
   }
-  void add_up_to(EndpointIndex i) {
-    if (!knows(i)) all_.resize(position_of(i) + 1);
+  // Makes room for the index. References to endpoints become invalid.
+  void add_up_to(EndpointIndex index) {
+    if (!knows(index)) all_.resize(position_of(index) + 1);
   }
 
   std::vector<EndpointIndex> listed;
@@ -81,7 +87,7 @@
   std::vector<Endpoint> all_;
 };
 
-// What gossip tells of an endpoint.
+// The endpoint's load report as gossip carries it.
 inline EndpointReport report_on(const Endpoint& endpoint, double now_ms) {
   return {.id = endpoint.id,
           .response_ms = endpoint.load.response_ms,
@@ -89,7 +95,7 @@
           .age_ms = now_ms - endpoint.load.reported_at_ms};
 }
 
-// Whether an attempt of the request went there.
+// Whether an attempt of the request has gone there.
 inline bool has_tried(const Request& request, EndpointIndex index) {
   return std::ranges::any_of(request.sent_attempts(), [&](const Attempt& a) { return a.endpoint == index; });
 }
--- a/src/policy/key_affinity.hpp
+++ b/src/policy/key_affinity.hpp
@@ -1,7 +1,7 @@
-// Key affinity: which endpoint serves a request, where a server does a key that it met of late for less.
+// Key affinity: sends a request to an endpoint that has its key cached. Design: docs/design.md, "One of many"
+// (key affinity).
 #pragma once
 
-#include <array>
 #include <utility>
 #include <vector>
 
@@ -14,40 +14,48 @@
 
 namespace meadowgauge {
 
+// Weighted rendezvous hashing: all balancers rank the endpoints of a key alike, by
+//
+//   -ln(u) * latency ratio of the server kind,   u uniform from the hash of key and endpoint id
+//
+// the lowest first. A key is served by the first ceil(1.3 * key's share of the requests * endpoints) of its
+// ranking, so that a popular one is spread. Of two of those drawn at random and of the next two in rank, the
+// one of least expected cost is picked; the latter are charged what an endpoint loses that does not have the
+// key cached.
 class KeyAffinity {
  public:
-  // All arguments have to outlive it.
+  // All arguments must outlive it.
   KeyAffinity(const PolicySettings& settings, const EndpointTable& endpoints, const LoadEstimator& load,
-              const LocalityRouter& locality, Random& random)
-      : settings_(settings),
-        endpoints_(endpoints),
-        load_(load),
-        locality_(locality),
-        random_(random),
-        keys_(no_shares()) {}
-
-  // Whether keys matter for this request.
+              const LocalityRouter& locality, Random& random);
+
+  // Whether endpoints cache by key, and this request has one.
   [[nodiscard]] bool applies_to(const Request& request) const {
     return settings_.key_affinity && request.key != 0;
   }
-  // One of the candidates, of which there is at least one.
-  EndpointIndex pick(const Request& request, double target_ms, const std::vector<EndpointIndex>& candidates,
-                     double now_ms);
+  // Returns one of the candidates, of which there must be at least one. `objective_ms` is the latency
+  // objective.
+  EndpointIndex pick(const Request& request, double objective_ms,
+                     const std::vector<EndpointIndex>& candidates, double now_ms);
 
-  // For gossip, the greatest first; and from it.
-  [[nodiscard]] std::vector<KeyShare> shares() const { return keys_.greatest(); }
-  void gossip_received(const std::vector<KeyShare>& shares) { keys_.even_out(shares); }
+  // The most popular keys, for gossip; and those of another balancer.
+  [[nodiscard]] std::vector<KeyShare> shares() const { return keys_.most_popular(); }
+  void gossip_received(const std::vector<KeyShare>& shares) { keys_.average_with(shares); }
 
  private:
-  static KeyShares no_shares();
-  using Ranking = std::vector<std::pair<double, EndpointIndex>>;  // the lowest first
+  struct RankedEndpoint {
+    double score = 0;
+    EndpointIndex endpoint = no_endpoint;
+    auto operator<=>(const RankedEndpoint&) const = default;
+  };
+  using Ranking = std::vector<RankedEndpoint>;
   struct Choice {
     EndpointIndex endpoint = no_endpoint;
     double cost_ms = never;
   };
+  [[nodiscard]] double popularity(const Request& request);
   void rank(std::uint64_t key, const std::vector<EndpointIndex>& candidates);
-  void weigh(Choice& best, EndpointIndex index, double fee_ms, double anew_ms, double now_ms) const;
-  void choose(Choice& best, Ranking& ranking, double share, double fee_ms, double now_ms);
+  void choose(Choice& best, Ranking& ranking, double popularity, double crossing_ms, double now_ms);
+  void consider(Choice& best, EndpointIndex index, double crossing_ms, double miss_ms, double now_ms) const;
 
   const PolicySettings& settings_;
   const EndpointTable& endpoints_;
@@ -55,7 +63,8 @@
   const LocalityRouter& locality_;
   Random& random_;
   KeyShares keys_;
-  Ranking near_, far_;  // for the key in hand
+  Ranking near_;  // of the current request's key: endpoints in the own zone
+  Ranking far_;   // in other zones
 };
 
 }  // namespace meadowgauge
--- a/src/policy/key_shares.cpp
+++ b/src/policy/key_shares.cpp
@@ -1,57 +1,67 @@
 #include "policy/key_shares.hpp"
 
 #include <algorithm>
+#include <iterator>
 
 namespace meadowgauge {
+namespace {
 
-std::uint64_t mixed(std::uint64_t x) {
-  x += 0x9e3779b97f4a7c15;
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111eb;
-  return x ^ (x >> 31);
+constexpr std::uint64_t key_id_bits = 0xffffff;
+
+}  // namespace
+
+std::uint64_t mix_bits(std::uint64_t bits) {
+  bits += 0x9e3779b97f4a7c15;
+  bits = (bits ^ (bits >> 30)) * 0xbf58476d1ce4e5b9;
+  bits = (bits ^ (bits >> 27)) * 0x94d049bb133111eb;
+  return bits ^ (bits >> 31);
 }
 
-KeyShare& KeyShares::index_of(std::uint32_t key) {
-  KeyShare* least = all_.data();
-  for (auto& h : all_) {
-    if (h.key == key) return h;
-    if (h.share < least->share) least = &h;
+// The key's entry, or else the least popular one, which the key may replace.
+KeyShare& KeyShares::entry_for(std::uint32_t key) {
+  KeyShare* least = entries_.data();
+  for (auto& entry : entries_) {
+    if (entry.key == key) return entry;
+    if (entry.share < least->share) least = &entry;
   }
   return *least;
 }
 
-double KeyShares::came(std::uint64_t key) {
-  ++seen_;
-  double gain = std::max(gain_, uncertainty() / prior_);
-  auto id = static_cast<std::uint32_t>(mixed(key) & 0xffffff);
-  for (auto& h : all_) h.share *= 1 - gain;
-  auto& h = index_of(id);
-  if (h.key != id) h = {.key = id};
-  double before = h.share;
-  h.share += gain;
-  return before;
+double KeyShares::record(std::uint64_t key) {
+  ++recorded_requests_;
+  double gain = std::max(gain_, uncertainty() / prior_requests_);
+  auto id = static_cast<std::uint32_t>(mix_bits(key) & key_id_bits);
+  for (auto& entry : entries_) entry.share *= 1 - gain;
+  auto& entry = entry_for(id);
+  if (entry.key != id) entry = {.key = id};
+  double share_before = entry.share;
+  entry.share += gain;
+  return share_before;
 }
 
-std::vector<KeyShare> KeyShares::greatest() const {
+std::vector<KeyShare> KeyShares::most_popular() const {
   std::vector<KeyShare> top;
-  std::copy_if(all_.begin(), all_.end(), std::back_inserter(top),
-               [](const KeyShare& h) { return h.share > 0; });
+  std::copy_if(entries_.begin(), entries_.end(), std::back_inserter(top),
+               [](const KeyShare& entry) { return entry.share > 0; });
   std::sort(top.begin(), top.end(), [](const KeyShare& a, const KeyShare& b) { return a.share > b.share; });
   top.resize(std::min(top.size(), max_gossip_keys));
   return top;
 }
 
-// What the other does not name has no more there than the least that it names.
-void KeyShares::even_out(const std::vector<KeyShare>& received) {
+// A key that the other balancer does not name has no more there than the least share that it names.
+void KeyShares::average_with(const std::vector<KeyShare>& received) {
   if (received.empty()) return;
-  for (auto& h : all_) {
-    auto it =
-        std::find_if(received.begin(), received.end(), [&](const KeyShare& t) { return t.key == h.key; });
-    h.share = (h.share + (it != received.end() ? it->share : std::min(h.share, received.back().share))) / 2;
+  for (auto& entry : entries_) {
+    auto has_key = [&](const KeyShare& other) { return other.key == entry.key; };
+    auto it = std::find_if(received.begin(), received.end(), has_key);
+    double other_share = it != received.end() ? it->share : std::min(entry.share, received.back().share);
+    entry.share = (entry.share + other_share) / 2;
+  }
+  for (const auto& other : received) {
+    auto& entry = entry_for(other.key);
+    double half_share = other.share / 2;
+    if (entry.key != other.key && entry.share < half_share) entry = {.key = other.key, .share = half_share};
   }
-  for (const auto& t : received)
-    if (auto& h = index_of(t.key); h.key != t.key && h.share < t.share / 2)
-      h = {.key = t.key, .share = t.share / 2};
 }
 
 }  // namespace meadowgauge
--- a/src/policy/list_subscription.cpp
+++ b/src/policy/list_subscription.cpp
@@ -4,46 +4,53 @@
 #include <cmath>
 
 namespace meadowgauge {
+namespace {
 
-constexpr double first_ask_ms = 400, first_ask_each_ms = 20;  // the latter for each balancer of the tier
-constexpr double retry_ms = 500;                              // after the first failure; doubles with each
-constexpr double retry_soonest = 0.5;                         // of that, and up to 1.5
-constexpr double ask_parts = 3;         // no wait is longer than this part of the time for asking
-constexpr double unanswered_ms = 5000;  // an asking without an answer counts as failed after this
-constexpr int most_failures = 10, logged_failures = 3;  // that are counted; from which it is logged
+constexpr double first_request_spread_ms = 400;             // the first call is drawn within this time
+constexpr double first_request_spread_per_replica_ms = 20;  // and this for each balancer of the tier
+constexpr double first_backoff_ms = 500;                    // doubles with each failure
+constexpr double min_backoff_ratio = 0.5;                   // jitter: 0.5 to 1.5 times the backoff
+constexpr double max_wait_divisor_ratio = 3;                // no wait is longer than ask_within_ms over this
+constexpr double response_timeout_ms = 5000;  // a call without an answer counts as failed after it
+constexpr int max_failure_count = 10;         // consecutive failures that are counted
+constexpr int reported_failure_count = 3;     // consecutive failures that are reported
+
+}  // namespace
 
-// Hundreds that start together would wear the list out; the one they start with serves meanwhile.
 ListSubscription::ListSubscription(const PolicySettings& settings, Random& random,
-                                   std::vector<std::string>& log_lines, double now_ms)
-    : settings_(settings), random_(random), log_lines_(log_lines) {
-  double spread_ms = first_ask_ms + first_ask_each_ms * settings.replicas;
-  ask_at_ms_ = now_ms + random_.uniform() * std::min(spread_ms, settings.ask_within_ms / ask_parts);
+                                   std::vector<PolicyEvent>& events, double now_ms)
+    : settings_(settings), random_(random), events_(events) {
+  double spread_ms = first_request_spread_ms + first_request_spread_per_replica_ms * settings.replicas;
+  double max_wait_ms = settings.ask_within_ms / max_wait_divisor_ratio;
+  request_at_ms_ = now_ms + random_.uniform() * std::min(spread_ms, max_wait_ms);
 }
 
 void ListSubscription::list_received() {
-  if (failures_ >= logged_failures) log_lines_.emplace_back("the list of upstreams answers again");
-  subscribed_ = true;
-  asked_ = false, failures_ = 0;
+  if (failure_count_ >= reported_failure_count) events_.emplace_back(DiscoveryRecovered{});
+  state_ = State::subscribed;
+  failure_count_ = 0;
 }
 
 void ListSubscription::list_failed(double now_ms) {
-  subscribed_ = asked_ = false;
-  schedule(now_ms);
+  state_ = State::waiting;
+  schedule_retry(now_ms);
 }
 
-void ListSubscription::schedule(double now_ms) {
-  failures_ = std::min(failures_ + 1, most_failures);
-  if (failures_ == logged_failures) log_lines_.emplace_back("the list of upstreams is out of reach");
-  double wait_ms = std::min(retry_ms * std::exp2(failures_ - 1), settings_.ask_within_ms / ask_parts);
-  ask_at_ms_ = now_ms + wait_ms * (retry_soonest + random_.uniform());
+void ListSubscription::schedule_retry(double now_ms) {
+  failure_count_ = std::min(failure_count_ + 1, max_failure_count);
+  if (failure_count_ == reported_failure_count)
+    events_.emplace_back(DiscoveryUnreachable{.failure_count = failure_count_});
+  double max_wait_ms = settings_.ask_within_ms / max_wait_divisor_ratio;
+  double backoff_ms = std::min(first_backoff_ms * std::exp2(failure_count_ - 1), max_wait_ms);
+  request_at_ms_ = now_ms + backoff_ms * (min_backoff_ratio + random_.uniform());
 }
 
 bool ListSubscription::tick(double now_ms) {
   if (!settings_.subscribes) return false;
-  if (asked_ && now_ms - asked_at_ms_ > unanswered_ms) list_failed(now_ms);
-  if (subscribed_ || asked_ || now_ms < ask_at_ms_) return false;
-  asked_ = true;
-  asked_at_ms_ = now_ms;
+  if (state_ == State::requested && now_ms - requested_at_ms_ > response_timeout_ms) list_failed(now_ms);
+  if (state_ != State::waiting || now_ms < request_at_ms_) return false;
+  state_ = State::requested;
+  requested_at_ms_ = now_ms;
   return true;
 }
 
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -6,139 +6,196 @@
 #include "policy/moving_average.hpp"
 
 namespace meadowgauge {
-
-constexpr double evidence_ms = 5000;  // outcomes fade over this time
-
-// An endpoint is ejected whose failing share is above the margin plus so many times its peers'.
-constexpr double failing_margin = 0.12, failing_times = 1.5;
-constexpr double peers_prior_failures = 0.2, peers_prior = 1;  // peers without outcomes fail a little
-// The first ejection; doubles with each relapse, up to the longest.
-constexpr double ejection_ms = 1000, longest_ejection_ms = 8000;
-constexpr double shortest_spread = 0.8, spread = 0.4;  // so that balancers don't try it all at once
-constexpr int most_ejections = 8;  // that are counted; forgotten when well for the time below
-constexpr double forgiven_ms = 10000;
-constexpr double handed_over_ejection_ms = 4 * ejection_ms;  // of what a successor is told
-
-constexpr double silence_floor_ms = 400, silence_factor = 4;  // times the slow end, with one request out
-constexpr double slow_end_step = 0.02, slow_end_odds = 19;    // the time that 1 in 20 takes longer than
-
-constexpr double kind_gain = 0.02, pace_gain = 0.02, slowness_prior = 2;  // outcomes' worth of uncertainty
-
-// What balancers tell each other: one voice keeps an endpoint out for under two seconds.
-constexpr double report_decay_ms = 4000;
-constexpr double report_gain = 0.4, failing_report = 0.25;  // of one outcome; from there on it is passed over
+namespace {
+
+constexpr double outcome_decay_ms = 5000;  // time constant with which outcomes lose their weight
+
+// Ejection threshold.
+constexpr double failure_margin_share = 0.12;       // added to the peers' failure share
+constexpr double peers_failure_multiplier = 1.5;    // of the peers' failure share
+constexpr double peers_prior_failures_count = 0.2;  // failures assumed of peers without outcomes
+constexpr double peers_prior_outcomes_count = 1;    // outcomes assumed of them besides
+
+// Length of an ejection.
+constexpr double first_ejection_ms = 1000;
+constexpr double max_ejection_ms = 8000;
+constexpr double min_ejection_spread_ratio = 0.8;  // of its length, drawn from here
+constexpr double ejection_spread_ratio = 0.4;      // over this width
+constexpr int max_ejection_count = 8;              // consecutive ones that are counted
+constexpr double forgiven_after_ms = 10000;        // healthy time after which earlier ones are forgotten
+constexpr double successor_ejection_ms = 4 * first_ejection_ms;  // of an outlier, for a successor process
+
+// Unresponsive endpoints.
+constexpr double min_unresponsive_ms = 400;
+constexpr double unresponsive_multiplier = 4;  // of the 95th percentile, with one request in flight
+
+// 95th percentile.
+constexpr double p95_step_ratio = 0.02;  // step of the estimate, of itself
+constexpr double p95_odds_ratio = 19;    // responses below it for each one above
+
+// Latency relative to peers.
+constexpr double server_kind_gain = 0.02;        // of one response
+constexpr double class_latency_gain = 0.02;      // of one response
+constexpr double server_kind_prior_samples = 2;  // responses that the server kind's mean stands for
+
+// Reports to other balancers.
+constexpr double report_decay_ms = 4000;  // time constant with which a report loses its weight
+constexpr double report_gain = 0.4;       // of one outcome: a single balancer ejects for under two seconds
+constexpr double max_reported_failure_share = 0.25;  // from here on an endpoint is not picked
+
+}  // namespace
+
+EjectionState OutlierDetector::state(const Endpoint& endpoint, double now_ms) {
+  const auto& outlier = endpoint.outlier;
+  if (!outlier.on_trial) return EjectionState::healthy;
+  return outlier.ejected_until_ms > now_ms ? EjectionState::ejected : EjectionState::half_open;
+}
 
 void OutlierDetector::decay(Endpoint& endpoint, double now_ms) {
-  auto& o = endpoint.outlier;
-  double left = std::exp((o.decayed_at_ms - now_ms) / evidence_ms);
-  for (double* sum : {&o.successes, &o.failures, &o.log_latency_excess, &o.latency_samples}) *sum *= left;
-  o.decayed_at_ms = now_ms;
+  auto& outlier = endpoint.outlier;
+  double left = std::exp((outlier.decayed_at_ms - now_ms) / outcome_decay_ms);
+  outlier.successes *= left;
+  outlier.failures *= left;
+  outlier.log_latency_excess *= left;
+  outlier.latency_samples *= left;
+  outlier.decayed_at_ms = now_ms;
 }
 
 double OutlierDetector::peers_failure_share(EndpointIndex index, double now_ms) {
-  double successes = 0, failures = peers_prior_failures;
-  for (EndpointIndex i : endpoints_.listed) {
-    if (i == index) continue;
-    decay(endpoints_[i], now_ms);
-    successes += endpoints_[i].outlier.successes;
-    failures += endpoints_[i].outlier.failures;
+  double successes = 0;
+  double failures = peers_prior_failures_count;
+  for (EndpointIndex peer : endpoints_.listed) {
+    if (peer == index) continue;
+    decay(endpoints_[peer], now_ms);
+    successes += endpoints_[peer].outlier.successes;
+    failures += endpoints_[peer].outlier.failures;
   }
-  return failures / (successes + failures + peers_prior);
+  return failures / (successes + failures + peers_prior_outcomes_count);
 }
 
 void OutlierDetector::record_outcome(EndpointIndex index, bool failed, double now_ms) {
-  auto& o = endpoints_[index].outlier;
   decay(endpoints_[index], now_ms);
-  ++(failed ? o.failures : o.successes);
-  if (!failed) {
-    if (o.on_trial) {
-      o.on_trial = false;
-      o.successes = 1;
-      o.failures = 0;
-      o.healthy_since_ms = now_ms;
-    }
-    if (o.ejections > 0 && now_ms - o.healthy_since_ms > forgiven_ms) o.ejections = 0;
-    return;
+  if (failed) {
+    record_failure(index, now_ms);
+  } else {
+    record_success(endpoints_[index].outlier, now_ms);
   }
-  double peers = peers_failure_share(index, now_ms);
-  double share = o.failures / (o.failures + o.successes);
-  // One bad server is not a tier without capacity: it leaves the picks and its outcomes leave the throttle.
-  if (o.ejected_until_ms <= now_ms && (o.on_trial || share > failing_margin + failing_times * peers))
-    eject(endpoints_[index], now_ms);
 }
 
-void OutlierDetector::eject(Endpoint& endpoint, double now_ms) {
-  auto& o = endpoint.outlier;
-  double length = std::min(longest_ejection_ms, ejection_ms * std::exp2(o.ejections));
-  o.ejected_until_ms = now_ms + length * (shortest_spread + spread * random_.uniform());
-  o.ejections = std::min(o.ejections + 1, most_ejections);
-  o.on_trial = true;
-  o.successes = o.failures = o.log_latency_excess = o.latency_samples = 0;
-  if (o.ejections == 1) log_lines_.emplace_back("benched a server that fails more than its peers");
+void OutlierDetector::record_success(OutlierState& outlier, double now_ms) {
+  ++outlier.successes;
+  if (outlier.on_trial) {
+    outlier.on_trial = false;
+    outlier.successes = 1;
+    outlier.failures = 0;
+    outlier.healthy_since_ms = now_ms;
+  }
+  if (outlier.ejections > 0 && now_ms - outlier.healthy_since_ms > forgiven_after_ms) outlier.ejections = 0;
+}
+
+void OutlierDetector::record_failure(EndpointIndex index, double now_ms) {
+  auto& outlier = endpoints_[index].outlier;
+  ++outlier.failures;
+  double peers_share = peers_failure_share(index, now_ms);
+  double share = outlier.failures / (outlier.failures + outlier.successes);
+  bool is_outlier = share > failure_margin_share + peers_failure_multiplier * peers_share;
+  if (outlier.ejected_until_ms <= now_ms && (outlier.on_trial || is_outlier))
+    eject(index, share, peers_share, now_ms);
 }
 
+void OutlierDetector::eject(EndpointIndex index, double failure_share, double peers_failure_share,
+                            double now_ms) {
+  auto& outlier = endpoints_[index].outlier;
+  double length_ms = std::min(max_ejection_ms, first_ejection_ms * std::exp2(outlier.ejections));
+  double spread_ratio = min_ejection_spread_ratio + ejection_spread_ratio * random_.uniform();
+  outlier.ejected_until_ms = now_ms + length_ms * spread_ratio;
+  outlier.ejections = std::min(outlier.ejections + 1, max_ejection_count);
+  outlier.on_trial = true;
+  outlier.successes = 0;
+  outlier.failures = 0;
+  outlier.log_latency_excess = 0;
+  outlier.latency_samples = 0;
+  if (outlier.ejections > 1) return;
+  events_.emplace_back(EndpointEjected{
+      .endpoint = index, .failure_share = failure_share, .peers_failure_share = peers_failure_share});
+}
+
+// Streaming estimate of the 95th percentile (stochastic approximation): one step down for a shorter latency,
+// 19 up for a longer one, so that it rests where one in twenty is longer.
 void OutlierDetector::record_duration(double took_ms, double now_ms) {
   last_answer_at_ms_ = now_ms;
-  double step = std::max(1.0, p95_latency_ms_ * slow_end_step);
-  double moved_ms = p95_latency_ms_ + (took_ms > p95_latency_ms_ ? step * slow_end_odds : -step);
-  p95_latency_ms_ = p95_latency_ms_ == 0 ? took_ms * 2 : std::max(1.0, moved_ms);
+  if (p95_latency_ms_ == 0) {
+    p95_latency_ms_ = took_ms * 2;
+    return;
+  }
+  double step_ms = std::max(1.0, p95_latency_ms_ * p95_step_ratio);
+  double change_ms = took_ms > p95_latency_ms_ ? step_ms * p95_odds_ratio : -step_ms;
+  p95_latency_ms_ = std::max(1.0, p95_latency_ms_ + change_ms);
 }
 
-// At size most servers are met too seldom to tell; what their kind has shown stands in.
+// Adds the logarithm of the latency over the class's mean, for an endpoint of mean weight, to the endpoint
+// and to its server kind. In a large tier one endpoint is seen too seldom to tell; its kind stands in.
 void OutlierDetector::record_relative_latency(Endpoint& endpoint, RequestClass& request_class,
                                               double took_ms) {
-  double log_ms = std::log(std::max(1.0, took_ms) * endpoint.weight / endpoints_.mean_weight);
-  double excess = request_class.mean_log_latency > 0 ? log_ms - request_class.mean_log_latency : 0;
-  blend(request_class.mean_log_latency, log_ms, pace_gain);
+  double log_latency = std::log(std::max(1.0, took_ms) * endpoint.weight / endpoints_.mean_weight);
+  double excess = request_class.mean_log_latency > 0 ? log_latency - request_class.mean_log_latency : 0;
+  blend(request_class.mean_log_latency, log_latency, class_latency_gain);
   endpoint.outlier.log_latency_excess += excess;
   endpoint.outlier.latency_samples += 1;
-  auto& kind = kind_slowness_[static_cast<std::size_t>(endpoint.server_kind)];
-  kind += kind_gain * (excess - kind);
+  auto& kind_excess = server_kind_excess_[static_cast<std::size_t>(endpoint.server_kind)];
+  kind_excess += server_kind_gain * (excess - kind_excess);
 }
 
-void OutlierDetector::record_for_report(Endpoint& endpoint, bool failed, bool overloaded,
-                                        double now_ms) const {
+void OutlierDetector::record_for_report(Endpoint& endpoint, bool failed, bool overloaded, double now_ms) {
   auto& share = endpoint.outlier.failure_share;
-  share = failure_share(endpoint, now_ms);
-  if (!overloaded) share += report_gain * (failed - share);
+  share = reported_failure_share(endpoint, now_ms);
+  if (!overloaded) share += report_gain * ((failed ? 1 : 0) - share);
 }
 
-// The more is out, the less time chance needs to be ruled out: a server that swallowed many requests was
-// still given more until the first timed out.
 bool OutlierDetector::unresponsive(const Endpoint& endpoint, double now_ms) const {
-  double quiet = now_ms - endpoint.last_sign_at_ms;
-  double factor = 1 + (silence_factor - 1) / std::max(1, endpoint.in_flight);
-  return endpoint.in_flight > 0 && quiet > std::max(silence_floor_ms, factor * p95_latency_ms_) &&
-         now_ms - last_answer_at_ms_ < quiet / 2;
+  if (endpoint.in_flight <= 0) return false;
+  double quiet_ms = now_ms - endpoint.last_sign_at_ms;
+  double multiplier = 1 + (unresponsive_multiplier - 1) / endpoint.in_flight;
+  bool is_long = quiet_ms > std::max(min_unresponsive_ms, multiplier * p95_latency_ms_);
+  bool others_answer = now_ms - last_answer_at_ms_ < quiet_ms / 2;
+  return is_long && others_answer;
 }
 
-double OutlierDetector::failure_share(const Endpoint& endpoint, double now_ms) {
-  return endpoint.outlier.failure_share * std::exp((endpoint.load.reported_at_ms - now_ms) / report_decay_ms);
+double OutlierDetector::reported_failure_share(const Endpoint& endpoint, double now_ms) {
+  double left = std::exp((endpoint.load.reported_at_ms - now_ms) / report_decay_ms);
+  return endpoint.outlier.failure_share * left;
 }
 
 bool OutlierDetector::is_healthy(const Endpoint& endpoint, double now_ms) const {
-  return failure_share(endpoint, now_ms) < failing_report && !ejected(endpoint, now_ms) &&
-         !(endpoint.outlier.on_trial && endpoint.in_flight > 0) && !unresponsive(endpoint, now_ms);
+  bool is_reported_well = reported_failure_share(endpoint, now_ms) < max_reported_failure_share;
+  if (!is_reported_well) return false;
+  auto ejection = state(endpoint, now_ms);
+  if (ejection == EjectionState::ejected) return false;
+  if (ejection == EjectionState::half_open && endpoint.in_flight > 0) return false;
+  return !unresponsive(endpoint, now_ms);
 }
 
+// exp(-mean log latency excess), the mean over the endpoint's own responses and its server kind's prior.
 double OutlierDetector::speed_factor(const Endpoint& endpoint) const {
-  const auto& o = endpoint.outlier;
-  double kind = kind_slowness_[static_cast<std::size_t>(endpoint.server_kind)];
-  return std::exp(-(o.log_latency_excess + slowness_prior * kind) / (o.latency_samples + slowness_prior));
+  const auto& outlier = endpoint.outlier;
+  double kind_excess = server_kind_excess_[static_cast<std::size_t>(endpoint.server_kind)];
+  double excess = outlier.log_latency_excess + server_kind_prior_samples * kind_excess;
+  return std::exp(-excess / (outlier.latency_samples + server_kind_prior_samples));
 }
 
-double OutlierDetector::report_lasts_ms(const Endpoint& endpoint, double normally_ms) const {
-  return normally_ms + (endpoint.outlier.failure_share > failing_report ? report_decay_ms : 0);
+double OutlierDetector::report_lasts_ms(const Endpoint& endpoint, double normally_ms) {
+  bool is_failing = endpoint.outlier.failure_share > max_reported_failure_share;
+  return normally_ms + (is_failing ? report_decay_ms : 0);
 }
 
-// What a silent one holds is not the successor's, to whom it would look idle: a trial settles it.
+// A successor does not know what an unresponsive endpoint has in flight, and would take it for idle.
 double OutlierDetector::ejected_for_successor(const Endpoint& endpoint, double now_ms) const {
   if (!ejected(endpoint, now_ms) && !unresponsive(endpoint, now_ms)) return 0;
-  return std::max(endpoint.outlier.ejected_until_ms, now_ms + handed_over_ejection_ms);
+  return std::max(endpoint.outlier.ejected_until_ms, now_ms + successor_ejection_ms);
 }
 
-void OutlierDetector::restore_ejection(Endpoint& endpoint, double until, double now_ms) const {
-  endpoint.outlier.ejected_until_ms = std::min(until, now_ms + longest_ejection_ms);
+void OutlierDetector::restore_ejection(Endpoint& endpoint, double until_ms, double now_ms) {
+  endpoint.outlier.ejected_until_ms = std::min(until_ms, now_ms + max_ejection_ms);
   endpoint.outlier.on_trial = true;
   endpoint.outlier.ejections = 1;
 }
--- a/src/policy/policy_core.hpp
+++ b/src/policy/policy_core.hpp
@@ -1,14 +1,15 @@
-// What the decision module consists of: one class for each concern, and the order in which they are asked.
+// The decision module's composition: one part for each concern, and the order in which they are asked.
 #pragma once
 
 #include <span>
-#include <string>
 #include <vector>
 
 #include "policy/admission_throttle.hpp"
 #include "policy/concurrency_limiter.hpp"
 #include "policy/endpoint.hpp"
 #include "policy/endpoint_picker.hpp"
+#include "policy/endpoint_updater.hpp"
+#include "policy/hedging_policy.hpp"
 #include "policy/key_affinity.hpp"
 #include "policy/learned_state.hpp"
 #include "policy/list_subscription.hpp"
@@ -16,68 +17,99 @@
 #include "policy/locality_router.hpp"
 #include "policy/outlier_detector.hpp"
 #include "policy/policy.hpp"
+#include "policy/policy_event.hpp"
 #include "policy/policy_settings.hpp"
 #include "policy/random.hpp"
 #include "policy/request_class.hpp"
+#include "policy/retry_budget.hpp"
 #include "policy/retry_policy.hpp"
 #include "policy/slow_start.hpp"
 #include "policy/tenant_quotas.hpp"
 
 namespace meadowgauge {
 
-// The parts refer to each other: it is neither copied nor moved. For the calls see Policy.
-struct Policy::Core {
+// Implements Policy, whose comments describe the calls. A request passes through:
+//
+//  decide          quota, throttle, probes, pick; or a hedged request, or rejection
+//  attempt_ended   learn from the outcome; then retry (a pick again) or finish
+//  finish          the final answer where no attempt succeeded
+//
+// The parts refer to each other, so a core is neither copied nor moved.
+class Policy::Core {
+ public:
   Core(const Settings& table, std::uint64_t seed, double now_ms);
   Core(const Core&) = delete;
   Core& operator=(const Core&) = delete;
+  Core(Core&&) = delete;
+  Core& operator=(Core&&) = delete;
+  ~Core() = default;
 
   Decision decide(Request& request, double now_ms);
   Decision attempt_ended(Request& request, const AttemptResult& result, double now_ms);
-  void response_started(Request& request, Attempt& attempt, double now_ms);
+  [[nodiscard]] AttemptTimeout attempt_timeout(const Request& request, double now_ms) const;
+  [[nodiscard]] bool may_still_be_sent(const Request& request, int attempt) const;
+  Decision client_left(Request& request) const;
+  Decision response_started(Request& request, int attempt, double now_ms);
   void body_complete(Request& request, double deadline_ms, double now_ms);
-  // A bit for each attempt in flight, where attempts can be cancelled.
-  [[nodiscard]] std::uint32_t cancellable(const Request& request) const;
-  PeriodicActions tick(double now_ms);
 
   void update_endpoints(EndpointListUpdate kind, std::span<const EndpointEntry> entries, double now_ms);
   void set_manual_drain(EndpointIndex index, bool drained, double now_ms);
+  void probe_ended(EndpointIndex endpoint, Outcome outcome, double took_ms, const LoadReport& load_report,
+                   double now_ms);
   void gossip_received(const GossipContent& content, double now_ms);
+  PeriodicActions tick(double now_ms);
 
-  // Listed endpoints that are drained by hand, ejected or silent; `unhealthy` gets the latter two.
-  [[nodiscard]] int unavailable(double now_ms, std::vector<EndpointIndex>* unhealthy) const;
+  [[nodiscard]] int unavailable_endpoints(double now_ms, std::vector<EndpointIndex>* unhealthy) const;
+  [[nodiscard]] double drop_probability(double now_ms) const { return throttle_.drop_probability(now_ms); }
 
-  [[nodiscard]] LearnedParts learned_parts() const;
   [[nodiscard]] LearnedState learned_state(double now_ms) const;
   void restore(const LearnedState& state, double now_ms);
 
-  std::vector<std::string> log_lines;  // until the next tick
-  PolicySettings settings;
-  Random random;
-  EndpointTable endpoints;
-  RequestClasses classes;
-  AdmissionThrottle throttle;
-  TenantQuotas quotas;
-  OutlierDetector outliers;
-  LoadEstimator load;
-  SlowStart slow_start;
-  ConcurrencyLimiter limiter;
-  LocalityRouter locality;
-  KeyAffinity affinity;
-  RetryPolicy retries;
-  EndpointPicker picker;
-  ListSubscription subscription;
-  double drops_logged_at_ms = -never;
-
  private:
+  // True: the request goes on to the pick. False: it was dropped by the throttle.
+  bool admit(Request& request, double now_ms);
   Decision hedge(Request& request, double now_ms);
+  Decision retry_or_finish(Request& request, Outcome outcome, double now_ms);
   Decision send(Request& request, EndpointIndex index, double now_ms);
   Decision finish(Request& request, RejectionReason reason, double now_ms);
-  void learn_from(const Attempt& attempt, RequestClass& request_class, double now_ms);
+
+  void end_attempt(Request& request, Attempt& attempt, Outcome outcome, double now_ms);
+  void learn_from(const Attempt& attempt, const LoadReport& load_report, RequestClass& request_class,
+                  double now_ms);
+  void learn_from_report(const Attempt& attempt, const LoadReport& load_report, double now_ms);
+  void learn_from_success(const Attempt& attempt, RequestClass& request_class, double took_ms, double now_ms);
+  void learn_from_outcome(const Attempt& attempt, RequestClass& request_class, double took_ms, double now_ms);
+
+  // In-flight accounting: an attempt counts at its endpoint while the endpoint is known to work on it.
   Attempt& add_attempt(Request& request, EndpointIndex index, double now_ms);
   void start_work(Attempt& attempt, double now_ms);
   void end_work(Attempt& attempt, double now_ms);
-  void log_drops(double now_ms);
-  void update_endpoint(const EndpointEntry& entry, double now_ms);
+  // A bit for each attempt in flight, where attempts can be cancelled.
+  [[nodiscard]] std::uint32_t cancellable_attempts(const Request& request) const;
+
+  void report_drops(double now_ms);
+  [[nodiscard]] LearnedParts learned_parts() const;
+
+  std::vector<PolicyEvent> events_;  // until the next tick
+  PolicySettings settings_;
+  Random random_;
+  EndpointTable endpoints_;
+  RequestClasses classes_;
+  AdmissionThrottle throttle_;
+  TenantQuotas quotas_;
+  OutlierDetector outliers_;
+  LoadEstimator load_;
+  SlowStart slow_start_;
+  ConcurrencyLimiter limiter_;
+  LocalityRouter locality_;
+  KeyAffinity affinity_;
+  RetryBudget retry_budget_;
+  RetryPolicy retries_;
+  HedgingPolicy hedging_;
+  EndpointPicker picker_;
+  EndpointUpdater updater_;
+  ListSubscription subscription_;
+  double drops_reported_at_ms_ = -never;
 };
 
 }  // namespace meadowgauge
--- a/src/policy/policy_settings.cpp
+++ b/src/policy/policy_settings.cpp
@@ -49,8 +49,8 @@
 
 }  // namespace
 
-PolicySettings read_policy_settings(const Settings& settings, std::vector<std::string>& log_lines) {
-  SettingsReader reader(settings, log_lines);
+PolicySettings read_policy_settings(const Settings& settings, std::vector<PolicyEvent>& events) {
+  SettingsReader reader(settings, events);
   PolicySettings s;
   int classes = static_cast<int>(reader.number("path_prefixes.count", 0));
   for (int i = 0; i < classes; ++i)
--- a/src/policy/policy_settings.hpp
+++ b/src/policy/policy_settings.hpp
@@ -4,6 +4,7 @@
 #include <string>
 #include <vector>
 
+#include "policy/policy_event.hpp"
 #include "policy/types.hpp"
 
 namespace meadowgauge {
@@ -69,7 +70,7 @@
   double ask_within_ms = 10000;
 };
 
-// What can't be read is left at its default and adds a line to `log_lines`.
-PolicySettings read_policy_settings(const Settings& settings, std::vector<std::string>& log_lines);
+// A value that is not a number takes its default and adds an InvalidSetting event.
+PolicySettings read_policy_settings(const Settings& settings, std::vector<PolicyEvent>& events);
 
 }  // namespace meadowgauge
--- a/src/policy/request_class.hpp
+++ b/src/policy/request_class.hpp
@@ -1,4 +1,4 @@
-// The classes of requests and what has been learned of each.
+// The request classes and what has been learned of each.
 #pragma once
 
 #include <algorithm>
@@ -11,8 +11,8 @@
 
 struct RequestClass {
   RequestClassSettings settings;
-  double mean_log_latency = 0;  // mean log of the time taken, weights of servers taken out
-  double relative_latency = 1;  // its mean time in those of the tier, whose mean is over all classes
+  double mean_log_latency = 0;  // of log latencies in ms, scaled to an endpoint of mean weight; 0: not known
+  double relative_latency = 1;  // mean latency over that of the tier, whose mean is over all classes
   int response_count = 0;
 };
 
@@ -21,7 +21,7 @@
   explicit RequestClasses(const std::vector<RequestClassSettings>& settings) {
     for (const auto& s : settings) all.push_back({.settings = s});
   }
-  // A class that is out of range counts as the nearest one.
+  // The request's class; one that is out of range counts as the nearest.
   RequestClass& of(const Request& request) { return all[index_of(request)]; }
   [[nodiscard]] const RequestClass& of(const Request& request) const { return all[index_of(request)]; }
 
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,59 +1,57 @@
-// The retry policy: whether a request may be sent once more, where to, when, and at whose cost.
+// Whether a request may be sent, once more or to a given endpoint, and how long an attempt may take. Design:
+// docs/design.md, "Open questions, as answered"; docs/design/endings.md.
 #pragma once
 
 #include "policy/admission_throttle.hpp"
-#include "policy/concurrency_limiter.hpp"
 #include "policy/endpoint.hpp"
 #include "policy/load_estimator.hpp"
 #include "policy/outlier_detector.hpp"
 #include "policy/policy_settings.hpp"
 #include "policy/request_class.hpp"
+#include "policy/retry_budget.hpp"
 
 namespace meadowgauge {
 
+// Holds the rules on attempts: the number of attempts, the deadline, draining endpoints, and no effect twice.
+// An attempt that may have run (in flight, or ended in any way but rejected, unreachable or superseded)
+// allows another only if the request is idempotent, or has an idempotency key and the other goes to the same
+// group of servers within the time that they remember the key.
 class RetryPolicy {
  public:
-  // All arguments have to outlive it.
+  // All arguments must outlive the policy.
   RetryPolicy(const PolicySettings& settings, const EndpointTable& endpoints, const RequestClasses& classes,
               const AdmissionThrottle& throttle, const OutlierDetector& outliers, const LoadEstimator& load,
-              const ConcurrencyLimiter& limiter)
+              const RetryBudget& budget)
       : settings_(settings),
         endpoints_(endpoints),
         classes_(classes),
         throttle_(throttle),
         outliers_(outliers),
         load_(load),
-        limiter_(limiter),
-        budget_(largest_budget(settings)),
-        largest_budget_(budget_) {}
+        budget_(budget) {}
 
-  // Why the rules forbid an attempt there now; none: they don't. Every attempt passes this.
+  // Why the rules forbid an attempt at this endpoint now, or `none`. Every attempt passes this check.
   [[nodiscard]] RejectionReason rejection_reason(const Request& request, const Endpoint& endpoint,
                                                  double now_ms) const;
-  // Whether an attempt that has not been sent yet may be, wherever its endpoint stands by now.
+  // Whether an attempt that still waits for a connection may be sent: its endpoint may have moved to another
+  // group of servers since it was picked.
   [[nodiscard]] bool may_still_be_sent(const Request& request, const Attempt& attempt) const;
-  // Whether the client may send it again at `at`: no attempt may have run whose repetition does harm then.
+  // Whether a repetition by the client at `at_ms` does no harm, so that it may be told to come again.
   [[nodiscard]] bool client_may_repeat(const Request& request, double at_ms) const;
-
-  // The retry budget: grows with each request that arrives.
-  void record_arrival();
-  [[nodiscard]] bool budget_spent() const { return budget_ < 1; }
-  void spend_retry() { budget_ -= 1; }
-  // Whether there may be another attempt after one that ended so.
+  // Whether there may be a retry after an attempt that ended so: not after a cancellation, without budget, or
+  // while the throttle drops requests.
   [[nodiscard]] bool may_retry(Outcome outcome, double now_ms) const;
 
-  // Hedged requests: whether a second copy may go beside the first, and whether it is to go now.
-  [[nodiscard]] bool may_hedge(const Request& request) const;
-  [[nodiscard]] bool should_hedge(const Request& request, double now_ms) const;
-  void spend_hedge_budget(const Request& request);
-
-  [[nodiscard]] AttemptTimeout timeout(const Request& request, double now_ms) const;
+  // How long the newest attempt may take.
+  [[nodiscard]] double attempt_limit_ms(const Request& request, double now_ms) const;
+  // Until when the newest attempt's last byte has to be written, from now on; `never`: within its limit.
+  // Checked only at the pick, the key's window could end while the attempt waits for a connection.
+  [[nodiscard]] double send_by_ms(const Request& request, double now_ms) const;
 
  private:
-  // How long the newest attempt may take until its last byte is out; never: as long as it may take at all.
-  [[nodiscard]] double send_by_ms(const Request& request, double now_ms) const;
-  [[nodiscard]] static double largest_budget(const PolicySettings& settings);
-  [[nodiscard]] bool is_short(const Request& request) const;
+  [[nodiscard]] bool may_run_again_at(const Request& request, const Attempt& earlier,
+                                      const Endpoint& endpoint, double now_ms) const;
+  [[nodiscard]] bool should_give_up_early(const Request& request, double early_limit_ms) const;
 
   const PolicySettings& settings_;
   const EndpointTable& endpoints_;
@@ -61,8 +59,7 @@
   const AdmissionThrottle& throttle_;
   const OutlierDetector& outliers_;
   const LoadEstimator& load_;
-  const ConcurrencyLimiter& limiter_;
-  double budget_, largest_budget_;  // attempts
+  const RetryBudget& budget_;
 };
 
 }  // namespace meadowgauge
--- a/src/policy/settings_reader.cpp
+++ b/src/policy/settings_reader.cpp
@@ -18,7 +18,7 @@
   const char* last = given.data() + given.size();
   auto [end, error] = std::from_chars(given.data(), last, value);
   if (error == std::errc{} && end == last && std::isfinite(value)) return value;
-  log_lines_.push_back("setting " + key + " can't be read: " + std::string(given));
+  events_.emplace_back(InvalidSetting{.name = key, .value = std::string(given)});
   return otherwise;
 }
 
--- a/src/policy/settings_reader.hpp
+++ b/src/policy/settings_reader.hpp
@@ -1,33 +1,35 @@
-// Reads single settings out of the table handed over at the start. It decides nothing.
+// Reads single settings. It decides nothing.
 #pragma once
 
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "policy/policy_event.hpp"
 #include "policy/types.hpp"
 
 namespace meadowgauge {
 
-// Refers to both arguments, which have to outlive it.
+// Both arguments of the constructor must outlive it.
 class SettingsReader {
  public:
-  // A value that can't be read adds a line to `log_lines` and counts as absent.
-  SettingsReader(const Settings& settings, std::vector<std::string>& log_lines)
-      : settings_(settings), log_lines_(log_lines) {}
+  // A value that is not a finite number adds an event and counts as absent.
+  SettingsReader(const Settings& settings, std::vector<PolicyEvent>& events)
+      : settings_(settings), events_(events) {}
 
   // Empty where the setting is absent.
   [[nodiscard]] std::string_view text(std::string_view key) const;
   [[nodiscard]] bool flag(std::string_view key) const { return text(key) == "true"; }
+  // The setting as a finite number, or `otherwise` where it is absent or is none.
   double number(const std::string& key, double otherwise);
-  // How many items a comma-joined list has, at least one.
+  // Items of a comma-separated list, at least one.
   [[nodiscard]] double item_count(std::string_view key) const;
-  // The place of `name` in load reports that come in the way `how`; -1: they don't hold it.
+  // Column of `name` in load reports that are sent in the way `how`; -1: they don't have it.
   [[nodiscard]] int report_column(std::string_view how, std::string_view name) const;
 
  private:
   const Settings& settings_;
-  std::vector<std::string>& log_lines_;
+  std::vector<PolicyEvent>& events_;
 };
 
 }  // namespace meadowgauge
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -3,32 +3,45 @@
 #include <algorithm>
 
 namespace meadowgauge {
+namespace {
 
-constexpr double quota_burst_ms = 1000;  // of a quota that may be saved up
-constexpr double share_burst = 10;       // requests of a share that may be saved up or overdrawn
+constexpr double quota_burst_ms = 1000;      // of a quota that may be saved up
+constexpr double share_burst_requests = 10;  // of a share that may be saved up, or overdrawn
+
+}  // namespace
 
 TenantQuotas::TenantQuotas(const PolicySettings& settings, double now_ms) {
   for (const auto& tenant : settings.tenants) {
-    double quota = tenant.quota_rps / 1000 / settings.replicas;
+    double quota_per_ms = tenant.quota_rps / 1000 / settings.replicas;
     tenants_.push_back({.share = tenant.share,
-                        .quota_per_ms = quota,
-                        .share_left = share_burst,
-                        .quota_left = quota * quota_burst_ms,
+                        .quota_per_ms = quota_per_ms,
+                        .share_tokens = share_burst_requests,
+                        .quota_tokens = quota_per_ms * quota_burst_ms,
                         .refilled_at_ms = now_ms});
   }
 }
 
-bool TenantQuotas::exceeds_quota(int tenant, double now_ms) {
-  if (tenant < 0 || tenant >= static_cast<int>(tenants_.size())) return false;
-  for (auto& other : tenants_) other.share_left = std::min(share_burst, other.share_left + other.share);
-  auto& t = tenants_[static_cast<std::size_t>(tenant)];
-  t.quota_left =
-      std::min(t.quota_per_ms * quota_burst_ms, t.quota_left + t.quota_per_ms * (now_ms - t.refilled_at_ms));
-  t.refilled_at_ms = now_ms;
-  t.share_left = std::max(-share_burst, t.share_left - 1);
-  bool over_quota = t.quota_per_ms > 0 && t.quota_left < 1;
-  if (!over_quota) t.quota_left -= 1;
-  return over_quota && t.share_left < 0;
+// Each request that arrives adds to every tenant's bucket its share of one request.
+void TenantQuotas::refill_shares() {
+  for (auto& tenant : tenants_)
+    tenant.share_tokens = std::min(share_burst_requests, tenant.share_tokens + tenant.share);
+}
+
+void TenantQuotas::refill_quota(Tenant& tenant, double now_ms) {
+  double refilled = tenant.quota_tokens + tenant.quota_per_ms * (now_ms - tenant.refilled_at_ms);
+  tenant.quota_tokens = std::min(tenant.quota_per_ms * quota_burst_ms, refilled);
+  tenant.refilled_at_ms = now_ms;
+}
+
+bool TenantQuotas::exceeds_quota(int tenant_number, double now_ms) {
+  if (tenant_number < 0 || tenant_number >= static_cast<int>(tenants_.size())) return false;
+  refill_shares();
+  auto& tenant = tenants_[static_cast<std::size_t>(tenant_number)];
+  refill_quota(tenant, now_ms);
+  tenant.share_tokens = std::max(-share_burst_requests, tenant.share_tokens - 1);
+  bool is_quota_used_up = tenant.quota_per_ms > 0 && tenant.quota_tokens < 1;
+  if (!is_quota_used_up) tenant.quota_tokens -= 1;
+  return is_quota_used_up && tenant.share_tokens < 0;
 }
 
 }  // namespace meadowgauge
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -1,5 +1,6 @@
-// The plain types of the decision module's interface: what a caller hands in and what it gets back. They hold
-// no decisions. All times are in milliseconds, points in time by the caller's clock.
+// The plain types of the decision module's interface: what a caller passes in and what it gets back. They
+// hold no decisions. All durations are in milliseconds; points in time are milliseconds of the caller's
+// clock.
 #pragma once
 
 #include <array>
@@ -15,8 +16,8 @@
 namespace meadowgauge {
 
 inline constexpr double never = std::numeric_limits<double>::infinity();
-inline constexpr int max_attempts = 8;  // of one request that are kept
-inline constexpr int max_probes = 8;    // asked for by one decision
+inline constexpr int max_attempts = 8;  // of one request
+inline constexpr int max_probes = 8;    // of one decision
 
 // A small number that the caller gives to an endpoint, the same for the endpoint's life. Indices are dense,
 // so that per-endpoint state can be kept in vectors (see position_of()).
@@ -27,22 +28,22 @@
 // `no_endpoint`.
 constexpr std::size_t position_of(EndpointIndex index) { return static_cast<std::size_t>(index); }
 
-// Setting keys to values, as handed over at the start.
+// Setting keys to values, by the names of the operators' pages.
 using Settings = std::map<std::string, std::string, std::less<>>;
 
-// What an instance has learned that is of use to its successor. `NAME@INDEX` tells of one endpoint.
+// What a process has learned and its successor can use, by name. `NAME@INDEX` is a value of one endpoint.
 using LearnedState = std::map<std::string, double>;
 
-// How an attempt ended. superseded: it was never sent, as its request needed it no more.
+// How an attempt ended.
 enum class Outcome : std::uint8_t {
   succeeded,
   error,
-  rejected,
+  rejected,  // the endpoint states that it has not run
   timeout,
-  unreachable,
+  unreachable,  // no connection was established, so it has not run
   reset,
   cancelled,
-  superseded
+  superseded  // never sent: its request no longer needs it
 };
 
 enum class EndpointState : std::uint8_t { gone, ready, draining };
@@ -55,87 +56,93 @@
   int cell = 0;
   EndpointState state = EndpointState::ready;
   double weight = 0;
-  double up_since_ms = 0;         // 0: long ago
+  double up_since_ms = 0;         // start of its process; 0: long ago
   bool manually_drained = false;  // by an operator
   std::uint32_t id = 0;           // the same at every balancer
 };
 
-// What an update of the endpoint list holds: changes; all of it; all of it as kept from before the start;
-// nothing, as the list could not be had.
-enum class EndpointListUpdate : std::uint8_t { delta, full, cached, failed };
+enum class EndpointListUpdate : std::uint8_t {
+  delta,   // changes
+  full,    // the complete list
+  cached,  // the complete list as it was known before the start
+  failed   // no list: the call failed, or the subscription ended
+};
 
-// The latest that a balancer knows of an endpoint.
+// The latest load report on an endpoint, as gossip carries it.
 struct EndpointReport {
   std::uint32_t id = 0;      // 24 bits
-  double response_ms = 0;    // how long a request takes there; 0: not known
+  double response_ms = 0;    // expected latency there; 0: not known
   double failure_share = 0;  // of its outcomes, 0 to 1
   double age_ms = 0;
 };
 
-// A key's share of the tier's requests, as far as known.
+// A key's estimated share of the tier's requests, 0 to 1.
 struct KeyShare {
   std::uint32_t key = 0;  // 24 bits
   double share = 0;
 };
 
-// What one balancer tells another of endpoints and keys.
+// What a gossip message carries.
 struct GossipContent {
   std::vector<EndpointReport> endpoints;
   std::vector<KeyShare> keys;
 };
 
-// As much as fills a short datagram.
+// So that a message fits into a short datagram.
 inline constexpr std::size_t max_gossip_endpoints = 36, max_gossip_keys = 8;
 
-// Gossip for another balancer of the tier, by its number.
 struct GossipMessage {
-  int to = 0;
+  int to = 0;  // number of the balancer in its tier
   GossipContent content;
 };
 
-// A load report of an endpoint: values in the order of the setting report.columns.
+// An endpoint's load report: values in the order of the setting `report.columns`.
 struct LoadReport {
   int count = 0;
   std::array<float, 4> values{};
 };
 
-// One try of a request at one endpoint.
+// One attempt of a request at one endpoint.
 struct Attempt {
   EndpointIndex endpoint = no_endpoint;
-  int zone = 0, cell = 0;   // of the endpoint when it was picked
-  double picked_at_ms = 0;  // the window of an idempotency key begins here, before its first byte is out
-  double sent_at_ms = 0;    // the same, or when a body that was still coming had come
+  int zone = 0;  // of the endpoint when it was picked
+  int cell = 0;  // the same
+
+  double picked_at_ms = 0;  // where the window of an idempotency key begins
+  double sent_at_ms = 0;    // the same, or when an incoming body was complete
+
   Outcome outcome = Outcome::succeeded;  // meaningful once it is no longer in flight
-  int in_flight_at_send = 0;  // attempts in flight to all endpoints when it was sent, itself among them
+  int in_flight_at_send = 0;  // attempts in flight to all endpoints when it was sent, with this one
   bool in_flight = false;
-  bool counted_in_flight = false;     // among those that its endpoint is known to work on
-  float expected_ms = 0;              // its predicted duration; 0: nothing was known
+  bool counted_in_flight = false;     // the endpoint is known to work on it
+  float expected_ms = 0;              // predicted latency; 0: not known
   double response_started_at_ms = 0;  // 0: not yet
 };
 
-// A request in hand. The caller makes it at arrival and keeps it until it is answered and no attempt is in
-// flight. The caller writes the first and the last block, the module the one between.
+// A request from its arrival until it is answered and has no attempt in flight. Owned by the caller, who
+// writes the first and the last block of fields; the policy writes the one between.
 struct Request {
   int request_class = 0;
   int tenant = 0;
   double arrived_ms = 0;
-  double deadline_ms = 0;     // the client stops waiting then
+  double deadline_ms = 0;  // when the client stops waiting
+
   bool client_retry = false;  // the client has sent it before
-  double work_ms = 0;         // a hint of what it costs; 0: none
-  std::uint64_t key = 0;      // what it is about; 0: none
+  double work_ms = 0;         // hint of its work; 0: none
+  std::uint64_t key = 0;      // cache key; 0: none
 
   std::array<Attempt, max_attempts> attempts{};
   int attempt_count = 0;
   int in_flight = 0;
   bool admitted = false;
   bool answered = false;
-  bool streaming = false;                // its response has started and belongs to the client
+  bool streaming = false;                // an attempt's response goes to the client as it comes
   bool over_quota = false;               // beyond its tenant's quota and share
   int probes_requested_for_attempt = 0;  // the number, from 1, of the attempt that probes were last asked for
 
-  bool large_body = false;      // more than is held at a time: no second copy can be sent beside the first
-  bool body_incoming = false;   // the rest of it is still to come
-  bool body_forwarded = false;  // part of it has been passed on and can't be sent once more
+  bool large_body = false;      // larger than the buffer: only one attempt at a time can be sent it
+  bool body_incoming = false;   // not complete yet
+  bool body_forwarded = false;  // part of it has left the buffer, so that no other attempt can be sent it
 
   // The attempts made so far.
   [[nodiscard]] std::span<const Attempt> sent_attempts() const {
@@ -150,21 +157,21 @@
 struct AttemptResult {
   int attempt = 0;  // its number among the request's
   Outcome outcome = Outcome::succeeded;
-  bool request_closed = false;  // the request has its final answer
+  bool request_closed = false;  // the client has its final answer
   LoadReport load_report;
 };
 
-// Why a request was rejected or failed, as far as the module decided it.
+// Why the policy rejected a request or let it fail. The names below are shown to operators.
 enum class RejectionReason : std::uint8_t {
   none,
   throttle,           // the admission throttle
-  concurrency_limit,  // the first tier is full to this balancer, for this class
-  retry_budget,       // another attempt was possible, and none was left to spend
-  attempts,           // the most attempts allowed were made, or a body could not be sent twice
-  deadline,           // too little time was left
+  concurrency_limit,  // the first tier, or the picked endpoint, is full for this class
+  retry_budget,       // a retry was allowed, but the budget was spent
+  attempts,           // all allowed attempts were made, or the body can't be sent twice
+  deadline,           // too little time is left
   not_repeatable,     // an earlier attempt may have run, and its effect, group or window forbids another
-  slow_start,         // only cold servers were left, and their budget was used up
-  no_server           // none was listed as ready, or all of them had been tried
+  slow_start,         // only warming endpoints are left, and their budget is spent
+  no_server           // no endpoint is ready, or all have been tried
 };
 inline constexpr std::string_view reason_names[] = {"none",           "throttle",   "concurrency_limit",
                                                     "retry_budget",   "attempts",   "deadline",
@@ -173,32 +180,29 @@
 
 // What to do with a request now.
 struct Decision {
-  // none: nothing. attempt: send it to `endpoint`. wait: ask again when attempt_timeout() says. reject: tell
-  // the client that it may come again. fail: tell the client that it failed.
-  enum Kind : std::uint8_t { none, attempt, wait, reject, fail } kind = none;
+  enum Kind : std::uint8_t {
+    none,
+    attempt,  // send it to `endpoint`
+    wait,     // call decide() again after AttemptTimeout::ask_again_ms
+    reject,   // final answer: the client may repeat it, after `retry_after_ms`
+    fail      // final answer: it has failed
+  };
+  Kind kind = none;
   EndpointIndex endpoint = no_endpoint;
   double retry_after_ms = 0;                       // of a rejection
-  std::uint32_t cancel = 0;                        // a bit for each attempt to be cancelled
+  std::uint32_t cancel = 0;                        // a bit for each attempt to cancel
   std::array<EndpointIndex, max_probes> probes{};  // endpoints to probe now
   int probe_count = 0;
   RejectionReason reason = RejectionReason::none;  // of a rejection or a failure
 };
 
-// How long the newest attempt may take, and after how long decide() is to be asked again.
+// How long the newest attempt may take, and when to call decide() again; from now on.
 struct AttemptTimeout {
   double limit_ms = 0;
-  // The request's last byte has to be out by then, or the attempt ends as never sent: later it could reach a
-  // server that has forgotten the idempotency key.
+  // The request's last byte must be written by then, or the attempt ends as superseded: later it could reach
+  // a server that no longer remembers the idempotency key.
   double send_by_ms = never;
   double ask_again_ms = never;
 };
 
-// What the caller is to do for the module after a tick.
-struct PeriodicActions {
-  bool subscribe = false;  // to the endpoint list
-  bool lookup = false;     // of the endpoint list, once
-  std::vector<GossipMessage> gossip;
-  std::vector<std::string> log_lines;
-};
-
 }  // namespace meadowgauge
--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -6,6 +6,7 @@
 
 #include "proxy/descriptor_budget.hpp"
 #include "proxy/endpoint/learned_state_names.hpp"
+#include "proxy/policy_event_log.hpp"
 
 namespace meadowgauge::proxy {
 
@@ -125,7 +126,7 @@
   tick_at_ms_ = std::max(tick_at_ms_, now_ms_ - policy_.tick_interval_ms()) + policy_.tick_interval_ms();
   auto actions = policy_.tick(now_ms_);
   // The watch on discovery is kept up all the time, so there is nothing to do when it is asked for.
-  for (const auto& line : actions.log_lines) log_(Level::info, line);
+  for (const auto& event : actions.events) log_policy_event(log_, event, upstreams_.endpoints());
   upstreams_.close_expired_connections();
   upstreams_.stream_held_responses();
   downstream_.retry_accept();
--- /dev/null
+++ b/src/proxy/policy_event_log.hpp
@@ -0,0 +1,22 @@
+// The log lines of the policy's events.
+#pragma once
+
+#include <string>
+#include <string_view>
+
+#include "policy/policy_event.hpp"
+#include "proxy/endpoint/slots.hpp"
+#include "proxy/logger.hpp"
+
+namespace meadowgauge::proxy {
+
+// The endpoint that the event is about; `no_endpoint`: it is about none.
+EndpointIndex endpoint_of(const PolicyEvent& event);
+
+// The event's line. `endpoint_name` names the event's endpoint, if it is about one.
+std::string message_of(const PolicyEvent& event, std::string_view endpoint_name);
+
+// Logs the event at level info, with its values as fields.
+void log_policy_event(const Logger& log, const PolicyEvent& event, const EndpointSlots& endpoints);
+
+}  // namespace meadowgauge::proxy
--- a/src/simulator_adapter/instance.cpp
+++ b/src/simulator_adapter/instance.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "membership/gossip_codec.hpp"
+#include "proxy/policy_event_log.hpp"
 
 namespace meadowgauge::simulator_adapter {
 
@@ -85,10 +86,15 @@
   if (actions.lookup) reply_.request_endpoints();
   for (const auto& message : actions.gossip)
     reply_.send_gossip(static_cast<std::uint16_t>(message.to), encode_gossip(message.content));
-  for (const auto& line : actions.log_lines) reply_.log_line(line);
+  for (const auto& event : actions.events)
+    reply_.log_line(proxy::message_of(event, upstream_name(proxy::endpoint_of(event))));
   reply_.set_timer(policy_.tick_interval_ms(), periodic_nonce);
 }
 
+std::string Instance::upstream_name(EndpointIndex endpoint) const {
+  return endpoint != no_endpoint ? std::to_string(upstreams_[position_of(endpoint)]) : std::string();
+}
+
 void Instance::update_timer(double now_ms) {
   if (due_.next() >= timer_at_ms_) return;
   timer_at_ms_ = due_.next();
--- a/src/simulator_adapter/instance.hpp
+++ b/src/simulator_adapter/instance.hpp
@@ -46,6 +46,8 @@
   void run_periodic_actions(double now_ms);
   // The module's index of a simulated upstream; given at its first mention, and kept.
   EndpointIndex endpoint_index(std::uint32_t upstream);
+  // The simulator's number of the endpoint, for the log; empty where there is none.
+  [[nodiscard]] std::string upstream_name(EndpointIndex endpoint) const;
 
   Policy policy_;
   transport::DueTimes due_;
--- a/tests/policy/decision_digest/generated_day.hpp
+++ b/tests/policy/decision_digest/generated_day.hpp
@@ -326,7 +326,7 @@
     next_tick_ = now_ms_ + policy_.tick_interval_ms();
     digest_.add(static_cast<int>(c.subscribe));
     digest_.add(static_cast<int>(c.lookup));
-    digest_.add(static_cast<std::uint64_t>(c.log_lines.size()));
+    digest_.add(static_cast<std::uint64_t>(c.events.size()));
     for (const auto& m : c.gossip) {
       digest_.add(m.to);
       for (const auto& w : m.content.endpoints) {
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -4,6 +4,7 @@
 #include <string>
 
 #include "policy/policy_test_support.hpp"
+#include "proxy/policy_event_log.hpp"
 
 namespace meadowgauge::test {
 namespace {
@@ -83,9 +84,13 @@
   auto s = settings_of({});
   s["rules.cold_share"] = "cold";
   Policy b(s, 1, 0);
-  auto lines = b.tick(0).log_lines;
-  ASSERT_EQ(lines.size(), 1u);
-  EXPECT_NE(lines[0].find("rules.cold_share"), std::string::npos);
+  auto events = b.tick(0).events;
+  ASSERT_EQ(events.size(), 1u);
+  const auto* invalid = std::get_if<InvalidSetting>(&events[0]);
+  ASSERT_NE(invalid, nullptr);
+  EXPECT_EQ(invalid->name, "rules.cold_share");
+  EXPECT_EQ(invalid->value, "cold");
+  EXPECT_EQ(proxy::message_of(events[0], {}), "setting rules.cold_share is not a number: cold");
 }
 
 }  // namespace
