--- a/src/policy/admission_throttle.hpp
+++ b/src/policy/admission_throttle.hpp
@@ -15,7 +15,7 @@
 //
 // where `working` and `failing` count the latest buckets without a failure and without a success. Nothing is
 // dropped at 0 or below. A drop counts in `total`, so that a throttled backend still reads as busy. After a
-// second without an admitted request one is admitted whatever the window holds.
+// second without an admitted request the next one is admitted in any case.
 class AdmissionThrottle {
  public:
   // `random` must outlive the throttle.
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -27,8 +27,8 @@
 constexpr double burst_overload_span_ratio = 0.8;  // overload ratio above 1 at which the allowance is used up
 constexpr double burst_mean_from_ratio =
     0.75;  // mean in flight over U at which the allowance begins to shrink
-constexpr double burst_mean_span_ratio = 0.5;   // and the width over which it shrinks to nothing
-constexpr double busy_utilization_ratio = 0.8;  // above it one of many gets no more than the plain allowance
+constexpr double burst_mean_span_ratio = 0.5;       // and the width over which it shrinks to nothing
+constexpr double busy_utilization_ratio = 0.8;      // above it one of many balancers has the plain allowance
 constexpr double max_own_deviation_multiplier = 3;  // of the plain allowance, for one of many balancers
 constexpr double few_replicas_count = 3;  // balancers up to which a balancer's own burst is the tier's
 
@@ -38,8 +38,8 @@
 constexpr double max_spare_capacity_multiplier = 2;  // up to this
 
 constexpr double max_report_queue_share = 0.5;  // of the latency objective, as reports are old and incomplete
-constexpr double min_timely_share = 0.05;       // lower shares are not told apart
-constexpr double min_latency_ms = 0.01;         // shorter ones are not told apart
+constexpr double min_timely_share = 0.05;       // lower bound of the share
+constexpr double min_latency_ms = 0.01;         // lower bound of a latency
 
 // Capacity that requests give up while capacity is short.
 constexpr double over_quota_cut_share = 0.5;     // beyond the tenant's quota and share
--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -20,7 +20,7 @@
 //   latency limit       N / r + m * b * sqrt(N)
 //
 // U  requests in flight that never congest the tier: two an endpoint and tier, shared by all balancers
-// N  requests in flight when the recent responses were sent
+// N  requests in flight at the sending of those whose responses are recent
 // r  overload ratio: recent latency over allowed latency, over the share of attempts that ended in time
 // b  burst allowance in standard deviations of a Poisson count; 0 in an overload
 // m  how much further one of many balancers may deviate while the tier has capacity
@@ -35,7 +35,7 @@
     double mean_ms = 0;
     double baseline_ms = 0;  // latency without overload; 0: not known yet
     double recent_ms = 0;
-    double recent_in_flight = 0;  // in flight when the requests behind `recent_ms` were sent
+    double recent_in_flight = 0;  // in flight at the sending of the requests behind `recent_ms`
     double mean_in_flight = 0;
     double timely_share = 1;  // share of attempts that did not time out
     double utilization = 0;   // as endpoints report it, 0 to 1; 0: not reported
--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -45,10 +45,10 @@
     bool is_full = limiter.is_full_by_report(request, parts_.endpoints[index], now_ms);
     return admit_unless(is_full, is_limited, index);
   }
-  EndpointIndex least = parts_.load.uses_probes() ? pick_least_probed(now_ms) : no_endpoint;
-  if (least != no_endpoint) {
-    bool is_full = limiter.is_full_by_probe(request, parts_.endpoints[least], now_ms);
-    return admit_unless(is_full, is_limited, least);
+  EndpointIndex lowest = parts_.load.uses_probes() ? pick_lowest_probed_load(now_ms) : no_endpoint;
+  if (lowest != no_endpoint) {
+    bool is_full = limiter.is_full_by_probe(request, parts_.endpoints[lowest], now_ms);
+    return admit_unless(is_full, is_limited, lowest);
   }
   parts_.locality.restrict_to_local(candidates_);
   return pick_idle_or_lesser(tier.mean_in_flight, now_ms);
@@ -158,22 +158,22 @@
 }
 
 // The least loaded of the candidates with a fresh probe, at random among equals; `no_endpoint`: none has one.
-EndpointIndex EndpointPicker::pick_least_probed(double now_ms) {
-  EndpointIndex least = no_endpoint;
-  double least_load = never;
+EndpointIndex EndpointPicker::pick_lowest_probed_load(double now_ms) {
+  EndpointIndex lowest = no_endpoint;
+  double min_load = never;
   int equal = 0;
   for (EndpointIndex index : candidates_) {
     const auto& endpoint = parts_.endpoints[index];
     if (!parts_.load.has_fresh_probe(endpoint, now_ms) || endpoint.load.probed_load == never) continue;
     double load = probed_load(endpoint, now_ms);
-    if (load < least_load) {
-      least = index;
-      least_load = load;
+    if (load < min_load) {
+      lowest = index;
+      min_load = load;
       equal = 0;
     }
-    if (load == least_load && parts_.random.uniform() * ++equal < 1) least = index;
+    if (load == min_load && parts_.random.uniform() * ++equal < 1) lowest = index;
   }
-  return least;
+  return lowest;
 }
 
 EndpointIndex EndpointPicker::pick_idle_or_lesser(double mean_in_flight, double now_ms) {
--- a/src/policy/endpoint_picker.hpp
+++ b/src/policy/endpoint_picker.hpp
@@ -37,10 +37,10 @@
 //
 //  1. The concurrency limit may reject a first attempt at the first tier.
 //  2. Candidates are the endpoints that are healthy for this request (is_healthy_for) and that no rule
-//  excludes
-//     (exclusion_reason). Panic threshold: where most ready endpoints look unhealthy, health is ignored.
+//     excludes (exclusion_reason). Panic threshold: where most ready endpoints look unhealthy, health is
+//     ignored.
 //  3. An endpoint whose manual drain has just ended is tried first.
-//  4. By key affinity, if it applies to the request; by fresh probes, if probes are what tells load.
+//  4. By key affinity, if it applies to the request; by fresh probes, where probes are used.
 //  5. Otherwise, in the own zone first, a random endpoint without own requests in flight, else the one with
 //     fewer of two drawn by weight (power of two choices).
 class EndpointPicker {
@@ -70,7 +70,7 @@
   EndpointIndex admit_unless(bool is_full, bool is_limited, EndpointIndex index);
   [[nodiscard]] EndpointIndex undrained_candidate(const Request& request, double now_ms) const;
   bool is_rejected(bool is_full);
-  EndpointIndex pick_least_probed(double now_ms);
+  EndpointIndex pick_lowest_probed_load(double now_ms);
   [[nodiscard]] double probed_load(const Endpoint& endpoint, double now_ms) const;
   EndpointIndex pick_idle_or_lesser(double mean_in_flight, double now_ms);
   EndpointIndex draw_idle(double mean_in_flight);
--- a/src/policy/hedging_policy.cpp
+++ b/src/policy/hedging_policy.cpp
@@ -13,32 +13,34 @@
 }  // namespace
 
 bool HedgingPolicy::may_hedge(const Request& request) const {
-  return settings_.hedging_enabled && request.attempt_count < 2 && !request.large_body &&
-         classes_.of(request).settings.repeatable();
+  return parts_.settings.hedging_enabled && request.attempt_count < 2 && !request.large_body &&
+         parts_.classes.of(request).settings.repeatable();
 }
 
 bool HedgingPolicy::is_short(const Request& request) const {
-  const auto& request_class = classes_.of(request);
+  const auto& request_class = parts_.classes.of(request);
   return ConcurrencyLimiter::has_learned(request_class) &&
-         request_class.relative_latency < max_short_share * limiter_.mean_relative_latency();
+         request_class.relative_latency < max_short_share * parts_.limiter.mean_relative_latency();
 }
 
 bool HedgingPolicy::should_hedge(const Request& request, double now_ms) const {
-  const auto& endpoint = endpoints_[request.sent_attempts().back().endpoint];
-  bool is_outlier = outliers_.ejected(endpoint, now_ms) || outliers_.unresponsive(endpoint, now_ms);
-  return (is_short(request) || is_outlier) && retries_.may_retry(Outcome::timeout, now_ms);
+  const auto& endpoint = parts_.endpoints[request.sent_attempts().back().endpoint];
+  bool is_outlier =
+      parts_.outliers.ejected(endpoint, now_ms) || parts_.outliers.unresponsive(endpoint, now_ms);
+  return (is_short(request) || is_outlier) && parts_.retries.may_retry(Outcome::timeout, now_ms);
 }
 
 double HedgingPolicy::delay_ms(const Request& request) const {
-  if (is_short(request)) return delay_multiplier * std::exp(classes_.of(request).mean_log_latency);
-  double outlier_delay_ms = std::max(min_outlier_delay_ms, delay_multiplier * outliers_.p95_latency_ms());
+  if (is_short(request)) return delay_multiplier * std::exp(parts_.classes.of(request).mean_log_latency);
+  double outlier_delay_ms =
+      std::max(min_outlier_delay_ms, delay_multiplier * parts_.outliers.p95_latency_ms());
   return outlier_delay_ms * request.attempt_count;
 }
 
 // A short class is charged by its part of the mean latency, since it repeats only that much work.
 void HedgingPolicy::spend_budget(const Request& request) {
-  double relative_cost = classes_.of(request).relative_latency / limiter_.mean_relative_latency();
-  budget_.spend(is_short(request) ? relative_cost : 1);
+  double relative_cost = parts_.classes.of(request).relative_latency / parts_.limiter.mean_relative_latency();
+  parts_.budget.spend(is_short(request) ? relative_cost : 1);
 }
 
 }  // namespace meadowgauge
--- a/src/policy/hedging_policy.hpp
+++ b/src/policy/hedging_policy.hpp
@@ -1,4 +1,4 @@
-// Hedged requests: a second attempt beside one that is still in flight. Design: docs/design.md, "Changed, and
+// Hedged requests: a second attempt beside the one in flight. Design: docs/design.md, "Changed, and
 // when each exception acts" (hedged request).
 #pragma once
 
@@ -12,32 +12,31 @@
 
 namespace meadowgauge {
 
+// What the policy asks. All of it must outlive the policy.
+struct HedgingPolicyParts {
+  const PolicySettings& settings;
+  const EndpointTable& endpoints;
+  const RequestClasses& classes;
+  const OutlierDetector& outliers;
+  const ConcurrencyLimiter& limiter;
+  const RetryPolicy& retries;
+  RetryBudget& budget;
+};
+
 // A hedged request is sent when all of these hold, in this order:
 //
-//  1. may_hedge()     hedging is enabled, this is the first attempt, its body can be sent twice, and the
-//  class may
-//                     be repeated
-//  2. delay_ms()      so much time has passed since the attempt was sent
-//  3. should_hedge()  the class is short, or the endpoint is ejected or unresponsive by now; the throttle
-//  drops
-//                     nothing and the retry budget is not spent
+//  1. may_hedge()     hedging is enabled, this is the first attempt, its body can be sent twice, and its
+//                     class may be repeated
+//  2. delay_ms()      so much time has passed since the newest attempt's pick
+//  3. should_hedge()  its class is short, or the endpoint is ejected or unresponsive by now; the throttle
+//                     drops nothing and the retry budget is not spent
 //  4. EndpointPicker  finds another endpoint that the rules permit
 //
-// A slow response alone is no reason: what takes long is mostly much work, which a second attempt would
+// A slow response alone is no reason: it is usually a large request, whose work a second attempt would
 // repeat. A short request that waits does so behind long ones.
 class HedgingPolicy {
  public:
-  // All arguments must outlive the policy.
-  HedgingPolicy(const PolicySettings& settings, const EndpointTable& endpoints, const RequestClasses& classes,
-                const OutlierDetector& outliers, const ConcurrencyLimiter& limiter,
-                const RetryPolicy& retries, RetryBudget& budget)
-      : settings_(settings),
-        endpoints_(endpoints),
-        classes_(classes),
-        outliers_(outliers),
-        limiter_(limiter),
-        retries_(retries),
-        budget_(budget) {}
+  explicit HedgingPolicy(const HedgingPolicyParts& parts) : parts_(parts) {}
 
   [[nodiscard]] bool may_hedge(const Request& request) const;
   [[nodiscard]] bool should_hedge(const Request& request, double now_ms) const;
@@ -49,13 +48,7 @@
  private:
   [[nodiscard]] bool is_short(const Request& request) const;
 
-  const PolicySettings& settings_;
-  const EndpointTable& endpoints_;
-  const RequestClasses& classes_;
-  const OutlierDetector& outliers_;
-  const ConcurrencyLimiter& limiter_;
-  const RetryPolicy& retries_;
-  RetryBudget& budget_;
+  HedgingPolicyParts parts_;
 };
 
 }  // namespace meadowgauge
--- a/src/policy/key_affinity.hpp
+++ b/src/policy/key_affinity.hpp
@@ -38,7 +38,7 @@
                      const std::vector<EndpointIndex>& candidates, double now_ms);
 
   // The most popular keys, for gossip; and those of another balancer.
-  [[nodiscard]] std::vector<KeyShare> shares() const { return keys_.most_popular(); }
+  [[nodiscard]] std::vector<KeyShare> shares() const { return keys_.top_shares(); }
   void gossip_received(const std::vector<KeyShare>& shares) { keys_.average_with(shares); }
 
  private:
--- a/src/policy/key_shares.cpp
+++ b/src/policy/key_shares.cpp
@@ -39,7 +39,7 @@
   return share_before;
 }
 
-std::vector<KeyShare> KeyShares::most_popular() const {
+std::vector<KeyShare> KeyShares::top_shares() const {
   std::vector<KeyShare> top;
   std::copy_if(entries_.begin(), entries_.end(), std::back_inserter(top),
                [](const KeyShare& entry) { return entry.share > 0; });
@@ -48,7 +48,8 @@
   return top;
 }
 
-// A key that the other balancer does not name has no more there than the least share that it names.
+// A key that the other balancer does not name is assumed to have the least share that it names, or the own
+// one if that is smaller.
 void KeyShares::average_with(const std::vector<KeyShare>& received) {
   if (received.empty()) return;
   for (auto& entry : entries_) {
--- a/src/policy/key_shares.hpp
+++ b/src/policy/key_shares.hpp
@@ -26,7 +26,7 @@
     return prior_requests_ / (prior_requests_ + recorded_requests_);
   }
   // The most popular keys first, as many as a gossip message holds.
-  [[nodiscard]] std::vector<KeyShare> most_popular() const;
+  [[nodiscard]] std::vector<KeyShare> top_shares() const;
   // Takes the mean of the own shares and those of another balancer, the most popular first. A mean stays
   // within both, however often the same shares arrive.
   void average_with(const std::vector<KeyShare>& received);
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -61,7 +61,7 @@
 
   // A request has arrived with a hint of its work; 0: none.
   void record_hint(double work_ms);
-  // An attempt that was sent has ended, with whatever outcome. Takes its load report.
+  // A sent attempt has ended. Takes its load report.
   void record_attempt(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report, double now_ms);
   // An attempt has succeeded after `took_ms`. Corrects the predictions.
   void record_duration(const Attempt& attempt, double took_ms);
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -62,7 +62,8 @@
   [[nodiscard]] double speed_factor(const Endpoint& endpoint) const;
   // 95th percentile of the latencies; 0: not known.
   [[nodiscard]] double p95_latency_ms() const { return p95_latency_ms_; }
-  // Age up to which a load report on the endpoint is passed on; more for one that fails.
+  // Age up to which a load report on the endpoint is passed on: `normally_ms`, or longer for a failing
+  // endpoint.
   [[nodiscard]] static double report_lasts_ms(const Endpoint& endpoint, double normally_ms);
 
   // Until when a successor process should leave the endpoint alone; 0: it is neither ejected nor
--- a/src/policy/policy_core.cpp
+++ b/src/policy/policy_core.cpp
@@ -6,13 +6,13 @@
 namespace meadowgauge {
 namespace {
 
-constexpr double tick_interval = 100;                  // ms between two calls of tick()
+constexpr double periodic_interval_ms = 100;           // between two calls of tick()
 constexpr double min_reported_drop_probability = 0.1;  // of the throttle, from which it is reported
 constexpr double drop_report_interval_ms = 5000;
 
 }  // namespace
 
-double Policy::tick_interval_ms() const { return tick_interval; }
+double Policy::tick_interval_ms() const { return periodic_interval_ms; }
 
 Policy::Core::Core(const Settings& table, std::uint64_t seed, double now_ms)
     : settings_(read_policy_settings(table, events_)),
@@ -27,8 +27,20 @@
       locality_(settings_, endpoints_, random_),
       affinity_(settings_, endpoints_, load_, locality_, random_),
       retry_budget_(settings_),
-      retries_(settings_, endpoints_, classes_, throttle_, outliers_, load_, retry_budget_),
-      hedging_(settings_, endpoints_, classes_, outliers_, limiter_, retries_, retry_budget_),
+      retries_({.settings = settings_,
+                .endpoints = endpoints_,
+                .classes = classes_,
+                .throttle = throttle_,
+                .outliers = outliers_,
+                .load = load_,
+                .budget = retry_budget_}),
+      hedging_({.settings = settings_,
+                .endpoints = endpoints_,
+                .classes = classes_,
+                .outliers = outliers_,
+                .limiter = limiter_,
+                .retries = retries_,
+                .budget = retry_budget_}),
       picker_({.settings = settings_,
                .endpoints = endpoints_,
                .classes = classes_,
@@ -306,13 +318,13 @@
 PeriodicActions Policy::Core::tick(double now_ms) {
   PeriodicActions actions;
   actions.subscribe = subscription_.tick(now_ms);
-  limiter_.tick(tick_interval);
+  limiter_.tick(periodic_interval_ms);
   locality_.tick();
   if (auto message = load_.gossip_due(now_ms)) {
     message->content.keys = affinity_.shares();
     actions.gossip.push_back(std::move(*message));
   }
-  slow_start_.tick(tick_interval, now_ms);
+  slow_start_.tick(periodic_interval_ms, now_ms);
   report_drops(now_ms);
   actions.events = std::exchange(events_, {});
   return actions;
--- a/src/policy/request_class.hpp
+++ b/src/policy/request_class.hpp
@@ -21,7 +21,7 @@
   explicit RequestClasses(const std::vector<RequestClassSettings>& settings) {
     for (const auto& s : settings) all.push_back({.settings = s});
   }
-  // The request's class; one that is out of range counts as the nearest.
+  // The request's class; a number out of range is the nearest class's.
   RequestClass& of(const Request& request) { return all[index_of(request)]; }
   [[nodiscard]] const RequestClass& of(const Request& request) const { return all[index_of(request)]; }
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -34,23 +34,23 @@
 }  // namespace
 
 // In order:
-//  attempts        the request has its answer, all allowed attempts were made, or its body can't be sent
-//  twice deadline        a retry would end after the deadline and delay the final answer no_server       the
-//  endpoint drains, has left the list, or is drained by an operator attempts        another attempt is in
-//  flight and hedging is not allowed not_repeatable  an earlier attempt may have run, and its effect, group
-//  or window forbids another
+//  attempts        the request has its answer, all allowed attempts were made, or its body can't be resent
+//  deadline        a retry would end after the deadline and delay the final answer
+//  no_server       the endpoint drains, has left the list, or is drained by an operator
+//  attempts        another attempt is in flight and hedging is not allowed
+//  not_repeatable  an earlier attempt may have run, and its effect, group or window forbids another
 RejectionReason RetryPolicy::rejection_reason(const Request& request, const Endpoint& endpoint,
                                               double now_ms) const {
   bool is_retry = request.attempt_count > 0;
-  if (request.answered || request.streaming || request.attempt_count >= settings_.max_attempts)
+  if (request.answered || request.streaming || request.attempt_count >= parts_.settings.max_attempts)
     return RejectionReason::attempts;
   if (is_retry && (request.body_forwarded || (request.large_body && request.in_flight > 0)))
     return RejectionReason::attempts;
-  double reserve_ms = is_retry ? retry_reserve_ticks * settings_.wire_tick_ms : 0;
+  double reserve_ms = is_retry ? retry_reserve_ticks * parts_.settings.wire_tick_ms : 0;
   if (now_ms >= request.deadline_ms - reserve_ms) return RejectionReason::deadline;
   if (!endpoint.is_available()) return RejectionReason::no_server;
   for (const auto& attempt : request.sent_attempts()) {
-    if (attempt.in_flight && !settings_.hedging_enabled) return RejectionReason::attempts;
+    if (attempt.in_flight && !parts_.settings.hedging_enabled) return RejectionReason::attempts;
     if (!may_run_again_at(request, attempt, endpoint, now_ms)) return RejectionReason::not_repeatable;
   }
   return RejectionReason::none;
@@ -59,18 +59,18 @@
 // Whether what `earlier` may have done allows another attempt at the endpoint.
 bool RetryPolicy::may_run_again_at(const Request& request, const Attempt& earlier, const Endpoint& endpoint,
                                    double now_ms) const {
-  const auto& rules = classes_.of(request).settings;
+  const auto& rules = parts_.classes.of(request).settings;
   if (!may_have_run(earlier) || rules.idempotency == Idempotency::idempotent) return true;
   if (!rules.repeatable()) return false;
   return is_key_remembered(earlier, rules, now_ms) && !is_outside_group(rules, earlier, endpoint);
 }
 
 bool RetryPolicy::may_still_be_sent(const Request& request, const Attempt& attempt) const {
-  return !is_outside_group(classes_.of(request).settings, attempt, endpoints_[attempt.endpoint]);
+  return !is_outside_group(parts_.classes.of(request).settings, attempt, parts_.endpoints[attempt.endpoint]);
 }
 
 bool RetryPolicy::client_may_repeat(const Request& request, double at_ms) const {
-  const auto& rules = classes_.of(request).settings;
+  const auto& rules = parts_.classes.of(request).settings;
   if (rules.idempotency == Idempotency::idempotent) return true;
   // A client's repetition may reach any server, so a smaller group does not help.
   bool is_known_everywhere =
@@ -81,12 +81,13 @@
 }
 
 bool RetryPolicy::may_retry(Outcome outcome, double now_ms) const {
-  return outcome != Outcome::cancelled && !budget_.is_spent() && throttle_.drop_probability(now_ms) <= 0;
+  return outcome != Outcome::cancelled && !parts_.budget.is_spent() &&
+         parts_.throttle.drop_probability(now_ms) <= 0;
 }
 
 double RetryPolicy::send_by_ms(const Request& request, double now_ms) const {
   if (request.attempt_count == 0) return never;
-  const auto& rules = classes_.of(request).settings;
+  const auto& rules = parts_.classes.of(request).settings;
   double send_by_ms = never;
   for (const auto& earlier : request.sent_attempts().first(request.sent_attempts().size() - 1)) {
     if (rules.idempotency != Idempotency::deduplicated || !may_have_run(earlier)) continue;
@@ -97,20 +98,20 @@
 
 // Until shortly before the deadline, or less where an attempt is given up early.
 double RetryPolicy::attempt_limit_ms(const Request& request, double now_ms) const {
-  double tick_ms = settings_.wire_tick_ms;
+  double tick_ms = parts_.settings.wire_tick_ms;
   double until_deadline_ms = request.deadline_ms - now_ms - response_reserve_ticks * tick_ms;
   double limit_ms = std::max(tick_ms, until_deadline_ms);
-  double early_limit_ms = classes_.of(request).settings.target_ms * early_limit_share;
+  double early_limit_ms = parts_.classes.of(request).settings.target_ms * early_limit_share;
   return should_give_up_early(request, early_limit_ms) ? std::min(limit_ms, early_limit_ms) : limit_ms;
 }
 
 // Whether a first attempt is given up while a retry can still meet the latency objective. Only where no
 // hedged request can stand in for it, nearly all responses are sooner, and a retry is possible.
 bool RetryPolicy::should_give_up_early(const Request& request, double early_limit_ms) const {
-  if (settings_.hedging_enabled || !load_.uses_load_reports()) return false;
-  if (request.attempt_count >= 2 || !classes_.of(request).settings.repeatable()) return false;
-  double p95_ms = outliers_.p95_latency_ms();
-  return p95_ms > 0 && p95_ms < early_limit_ms && !budget_.is_spent();
+  if (parts_.settings.hedging_enabled || !parts_.load.uses_load_reports()) return false;
+  if (request.attempt_count >= 2 || !parts_.classes.of(request).settings.repeatable()) return false;
+  double p95_ms = parts_.outliers.p95_latency_ms();
+  return p95_ms > 0 && p95_ms < early_limit_ms && !parts_.budget.is_spent();
 }
 
 }  // namespace meadowgauge
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -12,23 +12,24 @@
 
 namespace meadowgauge {
 
+// What the policy asks. All of it must outlive the policy.
+struct RetryPolicyParts {
+  const PolicySettings& settings;
+  const EndpointTable& endpoints;
+  const RequestClasses& classes;
+  const AdmissionThrottle& throttle;
+  const OutlierDetector& outliers;
+  const LoadEstimator& load;
+  const RetryBudget& budget;
+};
+
 // Holds the rules on attempts: the number of attempts, the deadline, draining endpoints, and no effect twice.
 // An attempt that may have run (in flight, or ended in any way but rejected, unreachable or superseded)
 // allows another only if the request is idempotent, or has an idempotency key and the other goes to the same
 // group of servers within the time that they remember the key.
 class RetryPolicy {
  public:
-  // All arguments must outlive the policy.
-  RetryPolicy(const PolicySettings& settings, const EndpointTable& endpoints, const RequestClasses& classes,
-              const AdmissionThrottle& throttle, const OutlierDetector& outliers, const LoadEstimator& load,
-              const RetryBudget& budget)
-      : settings_(settings),
-        endpoints_(endpoints),
-        classes_(classes),
-        throttle_(throttle),
-        outliers_(outliers),
-        load_(load),
-        budget_(budget) {}
+  explicit RetryPolicy(const RetryPolicyParts& parts) : parts_(parts) {}
 
   // Why the rules forbid an attempt at this endpoint now, or `none`. Every attempt passes this check.
   [[nodiscard]] RejectionReason rejection_reason(const Request& request, const Endpoint& endpoint,
@@ -36,7 +37,7 @@
   // Whether an attempt that still waits for a connection may be sent: its endpoint may have moved to another
   // group of servers since it was picked.
   [[nodiscard]] bool may_still_be_sent(const Request& request, const Attempt& attempt) const;
-  // Whether a repetition by the client at `at_ms` does no harm, so that it may be told to come again.
+  // Whether a repetition by the client at `at_ms` does no harm, so that the answer may be a rejection.
   [[nodiscard]] bool client_may_repeat(const Request& request, double at_ms) const;
   // Whether there may be a retry after an attempt that ended so: not after a cancellation, without budget, or
   // while the throttle drops requests.
@@ -53,13 +54,7 @@
                                       const Endpoint& endpoint, double now_ms) const;
   [[nodiscard]] bool should_give_up_early(const Request& request, double early_limit_ms) const;
 
-  const PolicySettings& settings_;
-  const EndpointTable& endpoints_;
-  const RequestClasses& classes_;
-  const AdmissionThrottle& throttle_;
-  const OutlierDetector& outliers_;
-  const LoadEstimator& load_;
-  const RetryBudget& budget_;
+  RetryPolicyParts parts_;
 };
 
 }  // namespace meadowgauge
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -112,7 +112,7 @@
   double sent_at_ms = 0;    // the same, or when an incoming body was complete
 
   Outcome outcome = Outcome::succeeded;  // meaningful once it is no longer in flight
-  int in_flight_at_send = 0;  // attempts in flight to all endpoints when it was sent, with this one
+  int in_flight_at_send = 0;  // attempts in flight to all endpoints at its sending, this one included
   bool in_flight = false;
   bool counted_in_flight = false;     // the endpoint is known to work on it
   float expected_ms = 0;              // predicted latency; 0: not known
