--- a/tests/policy/class_mix.hpp
+++ b/tests/policy/class_mix.hpp
@@ -87,8 +87,8 @@
     for (const auto& c : mix.classes) mean_work += c.share * c.work_ms, shares += c.share;
     for (int i = 0; i < mix.balancers; ++i) {
       if (mode == Mode::module) {
-        policies_.push_back(std::make_unique<Policy>(settings_of(mix, i), mix.seed * 1000 + i, start));
-        policies_.back()->update_endpoints(EndpointListUpdate::full, list, start);
+        policies_.push_back(std::make_unique<Policy>(settings_of(mix, i), mix.seed * 1000 + i, start_ms));
+        policies_.back()->update_endpoints(EndpointListUpdate::full, list, start_ms);
       }
       own_out_.emplace_back(servers_.size());
       parts_.push_back(std::exp(mix.uneven * normal(rng_)));
@@ -98,17 +98,17 @@
     double rate = mix.load * mix.servers * mix.slots / (mean_work / shares);
     for (auto& p : parts_) p *= rate / parts;
     for (int i = 0; i < mix.balancers; ++i) {
-      if (mode == Mode::module) add(start + uniform() * 100, Event::tick, i);
-      add(start + gap(i, start), Event::comes, i);
+      if (mode == Mode::module) add(start_ms + uniform() * 100, Event::tick, i);
+      add(start_ms + gap(i, start_ms), Event::comes, i);
     }
   }
 
   MixServed play() {
-    double end = start + mix_.seconds * 1000;
-    while (!events_.empty() && events_.top().at < end) {
+    double end = start_ms + mix_.seconds * 1000;
+    while (!events_.empty() && events_.top().at_ms < end) {
       Event e = events_.top();
       events_.pop();
-      now_ms_ = e.at;
+      now_ms_ = e.at_ms;
       step(e);
     }
     for (std::size_t i = 0; i < mix_.classes.size(); ++i) {
@@ -119,14 +119,14 @@
   }
 
  private:
-  static constexpr double start = 100000;
+  static constexpr double start_ms = 100000;
   struct Event {
     enum Kind : std::uint8_t { tick, comes, asks, limit, done } kind = tick;
-    double at = 0;
+    double at_ms = 0;
     std::uint64_t order = 0;
     int who = 0;     // balancer, request or server
     int number = 0;  // attempt
-    bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
+    bool operator<(const Event& o) const { return at_ms != o.at_ms ? at_ms > o.at_ms : order > o.order; }
   };
   struct Held {
     Request v = {};
@@ -145,16 +145,16 @@
 
   double uniform() { return static_cast<double>(rng_()) / 4294967296.0; }
   double gap(int i, double now_ms) {
-    bool surged = mix_.surge > 0 && now_ms > start + mix_.seconds * 2000 / 3;
+    bool surged = mix_.surge > 0 && now_ms > start_ms + mix_.seconds * 2000 / 3;
     double rate = parts_[i] * (surged ? mix_.surge / mix_.load : 1);
     return -std::log(1 - uniform()) / rate;
   }
-  void add(double at, Event::Kind kind, int who, int number = 0) {
-    events_.push({.kind = kind, .at = at, .order = ++order_, .who = who, .number = number});
+  void add(double at_ms, Event::Kind kind, int who, int number = 0) {
+    events_.push({.kind = kind, .at_ms = at_ms, .order = ++order_, .who = who, .number = number});
   }
   [[nodiscard]] bool counts(const Request& v) const {
-    return v.arrived_ms >= start + mix_.counted_from_s * 1000 &&
-           v.arrived_ms < start + mix_.seconds * 1000 - longest();
+    return v.arrived_ms >= start_ms + mix_.counted_from_s * 1000 &&
+           v.arrived_ms < start_ms + mix_.seconds * 1000 - longest();
   }
   [[nodiscard]] double longest() const {
     double most = 0;
@@ -268,7 +268,7 @@
   Mix mix_;
   Mode mode_;
   std::mt19937 rng_;
-  double now_ms_ = start;
+  double now_ms_ = start_ms;
   std::uint64_t order_ = 0;
   std::priority_queue<Event> events_;
   std::vector<std::unique_ptr<Policy>> policies_;
--- a/tests/policy/class_mix_test.cpp
+++ b/tests/policy/class_mix_test.cpp
@@ -1,4 +1,5 @@
-// No class is left unserved for what the other classes are: in calm, with servers to spare, whatever the mix.
+// Mixes of request classes: without a fault no class is starved by the others, and in an overload the classes
+// of least weight for their latency are rejected first.
 #include "policy/class_mix.hpp"
 
 #include <gtest/gtest.h>
@@ -29,8 +30,8 @@
 MixServed run_policy(const Mix& mix) { return MixDay(mix, MixDay::Mode::module).play(); }
 MixServed run_plain(const Mix& mix) { return MixDay(mix, MixDay::Mode::plain).play(); }
 
-// Servers that execute many at once, a class of most weight and two of less: what was in flight followed the
-// first class alone, the limit followed what was in flight, and the others were rejected for good.
+// Guards against a limit that follows the in-flight number of the class of most weight alone and never grows
+// for the others.
 TEST(ClassMix, TheBoundHeldByTheBestClassGrowsForTheOthers) {
   Mix mix{.classes =
               {{.share = 0.2, .work_ms = 290, .target_ms = 2800, .timeout_ms = 7000, .priority_weight = 6.3},
@@ -46,7 +47,8 @@
   }
 }
 
-// A class of 8 ms and a target of 60 beside such of 250 ms: the tier's mean time is over its target in calm.
+// A class of 8 ms with an objective of 60 ms beside classes of 250 ms: the tier's mean latency is over that
+// objective without any overload.
 TEST(ClassMix, AShortTargetAmongLongOnesIsNotOverload) {
   Mix mix{.classes =
               {{.share = 0.4, .work_ms = 8, .target_ms = 60, .timeout_ms = 250, .priority_weight = 2},
@@ -92,7 +94,7 @@
   return m;
 }
 
-TEST(ClassMix, NoClassOfADrawnMixIsServedUnderHalfOfWhatAPlainPolicyServesInCalm) {
+TEST(ClassMix, NoClassHasUnderHalfOfAPlainPolicysShare) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     auto mix = drawn(seed);
     auto ours = run_policy(mix), plain = run_plain(mix);
@@ -100,8 +102,8 @@
   }
 }
 
-// Half as much again as the servers bear, two classes alike but for what they earn.
-TEST(ClassMix, OverloadStillShedsWhatEarnsLess) {
+// 1.5 times the servers' capacity; two classes that differ in priority weight alone.
+TEST(ClassMix, OverloadRejectsTheClassOfLessWeight) {
   Mix mix{
       .classes = {{.share = 0.5, .work_ms = 60, .target_ms = 600, .timeout_ms = 2000, .priority_weight = 8},
                   {.share = 0.5, .work_ms = 60, .target_ms = 600, .timeout_ms = 2000, .priority_weight = 2}},
@@ -121,9 +123,9 @@
   EXPECT_GT(dear, 1.3 * cheap);
 }
 
-// Servers execute two at a time in order: a short request behind long ones is late, and its hedged attempt is
-// so only if a second server is busy too. Hedging a short one costs little, a long one much.
-TEST(ClassMix, AShortRequestBehindLongOnesIsHedgedByTheTimeOfItsClass) {
+// Servers execute two requests at a time in order, so that a short one waits behind long ones. A hedged
+// request is late only if a second server is busy too, and costs a short class little.
+TEST(ClassMix, ShortRequestsAreHedgedByTheirClassLatency) {
   Mix mix{.classes =
               {{.share = 0.3, .work_ms = 4, .target_ms = 50, .timeout_ms = 150, .priority_weight = 1},
                {.share = 0.7, .work_ms = 120, .target_ms = 1500, .timeout_ms = 4000, .priority_weight = 3}},
@@ -146,8 +148,8 @@
   EXPECT_GT(longer, -0.03);
 }
 
-// Of a short class that earns less thirty times as many are served in the time of one that earns more.
-TEST(ClassMix, OverloadShedsWhatEarnsLessForTheTimeItTakes) {
+// Thirty requests of the short class of less weight take as long as one of the class of more weight.
+TEST(ClassMix, OverloadRejectsLeastWeightForLatency) {
   Mix mix{.classes =
               {{.share = 0.4, .work_ms = 8, .target_ms = 200, .timeout_ms = 600, .priority_weight = 1},
                {.share = 0.6, .work_ms = 240, .target_ms = 2400, .timeout_ms = 8000, .priority_weight = 3}},
--- a/tests/policy/concurrency_limiter_test.cpp
+++ b/tests/policy/concurrency_limiter_test.cpp
@@ -1,4 +1,4 @@
-// The concurrency limiter: what the first tier bears.
+// The concurrency limiter: how many requests the first tier bears.
 #include <gtest/gtest.h>
 
 #include "fixtures/policy_harness.hpp"
@@ -6,15 +6,15 @@
 namespace meadowgauge::test {
 namespace {
 
-// A start in an overload took its times for the baseline (incident if08b0b): until the baseline is known,
-// little is sent.
+// A start into an overload must not learn its latencies as the baseline: until that is known, few requests
+// go.
 TEST(ConcurrencyLimiter, IsSmallUntilTheBaselineIsKnown) {
   PolicyHarness w({}, 4, 5);
   for (int i = 0; i < 40; ++i) w.submit(0, 5000);
   EXPECT_EQ(w.requests.size(), 12u);  // eight, and the allowance for random peaks
 }
 
-// Bursts filled the servers before any outcome showed it (hobart-noms big-2): the limit acts at once.
+// A burst fills the servers before any outcome shows it: the limit acts on the number in flight.
 TEST(ConcurrencyLimiter, RejectsABurstAndAdmitsRandomPeaks) {
   PolicyHarness w({}, 4, 5);
   w.stream(0, 10, 9000, [](int) { return 300.0; });
@@ -27,14 +27,14 @@
   EXPECT_LT(w.requests.size(), 2 * usual);
 }
 
-// In a deeper tier a rejection wastes what the tiers above have done.
+// A rejection in a deeper tier discards the work of the tiers above.
 TEST(ConcurrencyLimiter, IsBoundedInTheFirstTierOnly) {
   PolicyHarness w({}, 4, 5, {{"stage", "1"}, {"stages", "a,b"}});
   for (int i = 0; i < 40; ++i) w.submit(0, 5000);
   EXPECT_EQ(w.requests.size(), 40u);
 }
 
-// One tenant beyond its share used the capacity of all.
+// A tenant over its quota and share must not use the capacity of all.
 TEST(ConcurrencyLimiter, IsHalfForATenantBeyondItsShareInAnOverload) {
   PolicyHarness w({}, 30, 5,
                   {{"tenants.count", "2"},
@@ -51,8 +51,8 @@
   EXPECT_EQ(w.requests.size(), 33u);
 }
 
-// A hundred instances that each admit random peaks filled the tier (alex-main-later big-1): a peak is
-// admitted on top of a mean, not on top of a full limit.
+// Random peaks of a hundred balancers add up: a peak is admitted above the mean in flight, not above a full
+// limit.
 TEST(ConcurrencyLimiter, AdmitsRandomPeaksOnlyWhileTheMeanIsUnderTheLimit) {
   PolicyHarness w({}, 60, 5, {{"replicas_of_me", "40"}});  // three requests are no overload
   for (int i = 0; i < 20; ++i) w.submit(0, 60000);
@@ -63,8 +63,8 @@
   EXPECT_EQ(w.requests.size(), 3u);
 }
 
-// A jump of requests at one balancer of many, before a tier that reports half its capacity in use, is a
-// random peak; before one that is busy, or at one balancer of three, it is rejected.
+// A jump of requests at one balancer of many is a random peak while the tier reports half its capacity in
+// use. It is rejected where the tier is busy, or at one balancer of three.
 TEST(ConcurrencyLimiter, OfManyAdmitsAJumpWhileTheTierHasCapacity) {
   auto rejected = [](const char* replicas, float util) {
     PolicyHarness w(
@@ -81,7 +81,7 @@
   EXPECT_EQ(rejected("3", 0.7F), rejected("3", 0.9F));
 }
 
-// An overload of a deeper tier showed only in timeouts: the successful requests seemed quick.
+// An overload of a deeper tier shows in timeouts alone: the requests that succeed are quick.
 TEST(ConcurrencyLimiter, ShrinksWithTimeouts) {
   PolicyHarness w({}, 4, 5);
   int n = 0;
--- a/tests/policy/decision_digest_test.cpp
+++ b/tests/policy/decision_digest_test.cpp
@@ -1,13 +1,12 @@
-// Holds the policy to its decisions. Generated days of a small tier go through it, and all that it answers is
-// summed up in one number for each kind of settings. A change that is meant to leave the decisions as they
-// are leaves every digest as it is; one that mends a decision says so and replaces the constants
-// (decision_digest/cases.hpp).
+// Holds the policy to its decisions: generated days of a small tier, and a digest of all answers for each
+// kind of settings. A change of form leaves every digest as it is; a change of a decision names it and
+// replaces the constants (decision_digest/cases.hpp).
 //
-// The days are driven by a generator of these tests' own, so that nothing here depends on the policy's draws.
-// The wording of log lines is no decision: only their number is summed up.
+// The days have a random generator of their own, so that they do not depend on the policy's draws. Of log
+// events only the number enters the digest.
 //
-// The digests hold for IEEE doubles and a C library whose exp, log and sqrt round alike: on a machine where
-// all of them differ at once and nothing in src/policy was changed, suspect the library.
+// The digests hold for IEEE doubles and a C library whose exp, log and sqrt round alike: where all of them
+// differ at once without a change of src/policy, suspect the library.
 #include <gtest/gtest.h>
 
 #include <cstdint>
--- a/tests/policy/endpoint_picker_test.cpp
+++ b/tests/policy/endpoint_picker_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint picker: idle endpoints, weights, and what it does with none.
+// The endpoint picker: idle endpoints, weights, and a tier without a usable endpoint.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -8,13 +8,13 @@
 namespace meadowgauge::test {
 namespace {
 
-TEST(EndpointPicker, PrefersServersWithNothingOfOurs) {
+TEST(EndpointPicker, PrefersEndpointsWithoutOwnRequests) {
   PolicyHarness w({}, 4, 7);
   for (int i = 0; i < 4; ++i) w.submit(0, 5000);
   EXPECT_EQ(w.sends, (std::map<int, int>{{0, 1}, {1, 1}, {2, 1}, {3, 1}}));
 }
 
-TEST(EndpointPicker, RefusesWithNoneUsable) {
+TEST(EndpointPicker, RejectsWithoutAUsableEndpoint) {
   PolicyHarness w({}, 2, 7);
   for (auto& e : w.entries) e.state = EndpointState::draining;
   w.update_endpoints(EndpointListUpdate::full, w.entries);
@@ -23,8 +23,7 @@
   EXPECT_TRUE(w.sends.empty());
 }
 
-// A half-speed server of a deeper tier was overloaded by even draws: clients nearly always find idle servers
-// there.
+// In a deeper tier nearly every pick finds idle endpoints: even draws would overload one of half speed.
 TEST(EndpointPicker, FollowsTheListedWeights) {
   PolicyHarness w({}, 2, 5);
   w.entries[0].weight = 3;
@@ -33,15 +32,14 @@
   EXPECT_GT(w.sends[0], 2 * w.sends[1]);
 }
 
-// One slow server used up the concurrency of all tiers before it (incident ie63fa9).
+// Requests at one slow endpoint use up the concurrency of all tiers before it.
 TEST(EndpointPicker, DrawsSlowServersLess) {
   PolicyHarness w({}, 6, 5);
   w.stream(0, 15, 8000, [](int endpoint) { return endpoint == 0 ? 900.0 : 40.0; });
   EXPECT_LT(w.sends[0], w.sends[1] / 4);
 }
 
-// Servers of a slow kind, each used once in a while, drew as much as fast ones and stayed overloaded
-// (hobart-noms-later, a burst).
+// Endpoints that are picked too seldom to measure are weighted by what their server kind has shown.
 TEST(EndpointPicker, DrawsSlowKindsLess) {
   PolicyHarness w({}, 100, 5);
   for (auto& e : w.entries) e.server_kind = number_of(e.endpoint) < 50 ? 1 : 0;
--- a/tests/policy/key_affinity_test.cpp
+++ b/tests/policy/key_affinity_test.cpp
@@ -6,15 +6,15 @@
 namespace meadowgauge::test {
 namespace {
 
-// Servers have recent keys in their caches, so all balancers send a key to one server, whatever order their
-// lists have; another server of the cell did not have it (farm-live quiet: 60 ms and 140 ms).
+// Endpoints cache recent keys, so all balancers send a key to the same endpoint, in whatever order it is
+// listed.
 TEST(KeyAffinity, SendsAKeyToTheServerThatAllBalancersRankFirst) {
   auto server = [](std::uint64_t key, bool backwards) {
     PolicyHarness w({}, 0, backwards ? 5 : 6, depth_reported);
     for (int i = 0; i < 30; ++i)
       w.entries.push_back({.endpoint = EndpointIndex{i}, .weight = 1, .id = 500u + (backwards ? 29 - i : i)});
     w.update_endpoints(EndpointListUpdate::full, w.entries);
-    // Some requests first, so that a single one is no popular key.
+    // Some requests first, so that a single one does not make a popular key.
     for (std::uint64_t k = 1; k <= 60; ++k) {
       int id = w.submit(0, 5000, 0, 1000 + k);
       w.pass(50);
--- a/tests/policy/load_estimator_test.cpp
+++ b/tests/policy/load_estimator_test.cpp
@@ -1,4 +1,4 @@
-// The load estimator: probes, reports and gossip.
+// The load estimator: probes, load reports and gossip.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -9,8 +9,8 @@
 namespace meadowgauge::test {
 namespace {
 
-// One of 400 balancers used a server once in half a minute, and its pick was as good as random (derwent-index
-// quiet: 6 in 100 rejected, 6 late, at a quarter of the load).
+// One of 400 balancers uses an endpoint once in half a minute: without probes its pick is no better than
+// random.
 TEST(Probes, SendEachRequestToTheLeastOfThoseProbed) {
   PolicyHarness w({}, 20, 5, probes_only);
   w.probe_of = [](int endpoint) { return LoadReport{2, {endpoint < 15 ? 3.0F : 0.0F, 0}}; };
@@ -20,7 +20,7 @@
   EXPECT_TRUE(w.finals.empty());
 }
 
-// Probes that fail delay no request and lose none.
+// Failing probes delay no request and lose none.
 TEST(Probes, ThatFailDelayNoRequest) {
   PolicyHarness w({}, 20, 5, probes_only);
   w.stream(0, 200, 5000, [](int) { return 60.0; });
@@ -28,8 +28,7 @@
   EXPECT_EQ(w.check.breach, "");
 }
 
-// What can't be served within the target latency is rejected at once: by its own work, or by the queue before
-// it.
+// A request is rejected at once if its own work, or the queue before it, exceeds the latency objective.
 TEST(Probes, RejectWhatWouldBeLate) {
   PolicyHarness w({}, 20, 5, probes_only);
   double ahead = 0;
@@ -45,8 +44,8 @@
   EXPECT_EQ(w.finals.at(late), Decision::reject);
 }
 
-// The throttle was open while requests were rejected by probes, and clients were advised to retry at once.
-TEST(Probes, ARejectionSaysWhenToComeBack) {
+// Rejections by probes leave the throttle open; Retry-After follows the share rejected all the same.
+TEST(Probes, RejectionHasARetryAfter) {
   PolicyHarness w({}, 20, 5,
                   PolicyHarness::with(
                       probes_only, {{"limits.retry_after", "true"}, {"limits.max_retry_after_ms", "2000"}}));
@@ -57,9 +56,8 @@
   EXPECT_LE(w.advised, 2000);
 }
 
-// What failed one balancer another avoids: with thirty requests in ten seconds of its own each learned of a
-// silent server a request at a time. Only gossip of endpoints of its own list counts, and damaged messages
-// change nothing.
+// A balancer avoids an endpoint that failed for others. Only gossip on endpoints of its own list counts;
+// damaged messages change nothing.
 TEST(Gossip, ChangesThePicksOfOthersAndNothingElse) {
   auto sends_after_gossip = [](int endpoint, int voices, auto spoil) {
     PolicyHarness a({}, 30, 5, depth_reported), b({}, 30, 6, depth_reported);
@@ -120,8 +118,7 @@
   EXPECT_LE(encode_gossip(many).size(), 256U);
 }
 
-// A balancer that had seen an overload rejected all requests, learned nothing more of it, and went on so
-// (farm-live rough-1 from 4 to 8 s: 5,375 picks, 846 attempts).
+// A balancer that rejects everything learns nothing new: its last reports must lose their weight.
 TEST(Gossip, OfAnOverloadIsForgottenOnceNoneComes) {
   PolicyHarness w({}, 30, 5, depth_reported);
   w.load_report_of = [](int) { return LoadReport{2, {3000, 25}}; };
--- a/tests/policy/locality_router_test.cpp
+++ b/tests/policy/locality_router_test.cpp
@@ -24,8 +24,7 @@
   EXPECT_GT(w.sends[1] + w.sends[3], 9 * (w.sends[0] + w.sends[2]));
 }
 
-// A zone with 85% of its capacity in use kept its requests while the next had 25% (iscrizioni-sicilia-later
-// big-2): at few requests a second response times show too little.
+// At few requests a second latencies do not show that the own zone is busy; reported utilization does.
 TEST(LocalityRouter, SpillsByReportedLoad) {
   PolicyHarness w({}, 8, 5,
                   {{"fees.cross_zone", "0.05"},
@@ -37,9 +36,8 @@
   EXPECT_GT(w.sends[1] + w.sends[3] + w.sends[5] + w.sends[7], 100);
 }
 
-// A balancer of many learns of the other zones with the few requests that cross. Reports of a quiet start
-// must not send requests across once those zones are as busy as the own one; at three balancers they never
-// did.
+// One of many balancers learns of other zones from the few requests that cross. Old reports of a quiet start
+// must not send requests across once those zones are as busy as the own one.
 TEST(LocalityRouter, DoesNotCrossOnOutdatedLoadOfTheOtherZones) {
   for (double every : {5.0, 100.0}) {  // ms between requests: the share of one of three, of one of many
     PolicyHarness w({}, 12, 5,
@@ -66,10 +64,10 @@
   }
 }
 
-// At one of many a single request fills a near server's part: 45 picks in 100 crossed at 40% load. A second
-// one goes there first, but not a third, not while the zone is busy or busier than the others, and not at one
-// of three.
-TEST(LocalityRouter, OfManyFillsNearServersTwiceBeforeItCrossesWhileTheZoneIsCalm) {
+// At one of many balancers a single request saturates a local endpoint's part. A second one stays local while
+// the zone has spare utilization and is no busier than the others; a third does not, nor a second at one of
+// three balancers.
+TEST(LocalityRouter, OfManySendsASecondLocalRequestBeforeCrossing) {
   auto crossed = [](const char* replicas, float near, float far) {  // of 160 requests, eight at a time
     PolicyHarness w({}, 8, 5,
                     {{"fees.cross_zone", "0.05"},
@@ -100,7 +98,8 @@
     EXPECT_LT(crossed("2", 0.3F, far), 25);  // alone in its zone: its part is all
 }
 
-// Each of many probed other zones as often as one of a few, and each probe has its price.
+// The spillover share is divided by the zone's balancers: all together look at other zones as often as a few
+// would.
 TEST(LocalityRouter, OfManyProbesOtherZonesByItsShareOfTheBalancers) {
   auto crossed = [](const char* replicas) {  // of some 2,000 requests
     PolicyHarness w(
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -1,4 +1,4 @@
-// The outlier detector: ejections, trials, silence.
+// The outlier detector: ejections, half-open trials, unresponsive endpoints.
 #include <gtest/gtest.h>
 
 #include "fixtures/policy_harness.hpp"
@@ -6,7 +6,7 @@
 namespace meadowgauge::test {
 namespace {
 
-// A server that fails at once is always idle and would draw the picks.
+// An endpoint that fails at once is always idle and would attract the picks.
 TEST(OutlierDetector, QuickFailerIsEjected) {
   PolicyHarness w({}, 5, 3);
   for (int i = 0; i < 400; ++i) {
@@ -21,7 +21,7 @@
   EXPECT_LE(w.policy.drop_probability(w.now_ms), 0);  // and does not throttle the tier
 }
 
-// After its ejection a server is tried, for some time, only by a request that may be repeated.
+// For some time after its ejection only repeatable requests try an endpoint.
 TEST(OutlierDetector, IsTriedByRequestsThatMayRunAgain) {
   PolicyHarness w({}, 5, 3);
   auto round = [&](int request_class, int rounds) {
@@ -42,7 +42,7 @@
   EXPECT_EQ(w.sends[0], before + 1);
 }
 
-// A failure that all share makes all look unhealthy: ejecting them would empty the tier.
+// A shared fault makes all endpoints look unhealthy: ejecting them would empty the tier.
 TEST(OutlierDetector, EjectionNeverEmptiesTheTier) {
   PolicyHarness w({}, 3, 3);
   for (int i = 0; i < 30; ++i) {
@@ -56,9 +56,9 @@
   EXPECT_GT(w.sends[0] + w.sends[1] + w.sends[2], before);
 }
 
-// With most servers new and without budget at the moment, the few that look unhealthy are no majority: one
-// that fails at once is not used again because the healthy ones may not be.
-TEST(OutlierDetector, NewServersWithoutBudgetAreNoReasonToUseQuickFailers) {
+// Warming endpoints without budget are not unhealthy: an endpoint that fails at once is not used again
+// because the others have no budget.
+TEST(OutlierDetector, WarmingEndpointsDoNotTriggerThePanicThreshold) {
   for (const char* replicas : {"3", "100"}) {
     PolicyHarness w({.initial_share = 0.05}, 16, 3, {{"replicas_of_me", replicas}, {"stage", "1"}});
     auto rounds = [&](int n) {
@@ -79,7 +79,7 @@
   }
 }
 
-TEST(OutlierDetector, SilentServerGetsNothingNewAndItsRequestsAreCopied) {
+TEST(OutlierDetector, UnresponsiveEndpointIsAvoidedAndHedged) {
   PolicyHarness w({}, 4, 5);
   w.stream(0, 20, 4000, [](int endpoint) { return endpoint == 0 ? never : 40.0; });
   EXPECT_LE(w.sends[0], 4);
@@ -87,9 +87,8 @@
     EXPECT_LT(w.now_ms - h.v.arrived_ms, 3000);  // none was left waiting there
 }
 
-// A silent server went on getting requests until the first timed out (seen on sockets): the more are in
-// flight there, the sooner it is distinguished from a slow one.
-TEST(OutlierDetector, DetectsSilenceSoonerTheMoreIsInFlight) {
+// The more requests an endpoint leaves unanswered, the sooner it is told apart from a slow one.
+TEST(OutlierDetector, DetectsSilenceSoonerWithMoreInFlight) {
   PolicyHarness w({}, 4, 5);
   auto usual = [](int endpoint) { return endpoint == 3 ? 1200.0 : 300.0; };
   auto silent = [&](int endpoint) { return endpoint == 0 ? never : usual(endpoint); };
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -9,7 +9,7 @@
 namespace meadowgauge::test {
 namespace {
 
-// Nothing is assumed of the size of a list or of a fleet.
+// Lists and fleets of any size.
 TEST(Policy, AnyListAndAnyFleetWork) {
   for (int servers : {0, 1, 1000})
     for (const char* replicas : {"1", "500"}) {
@@ -21,9 +21,8 @@
     }
 }
 
-// Operators ask why a class is rejected: each rejection and failure that the policy decides states its
-// reason.
-TEST(RejectionReasons, AreThoseThatTurnedARequestAway) {
+// Each rejection and failure that the policy decides has its reason.
+TEST(RejectionReasons, NameWhatRejectedTheRequest) {
   auto reason_of = [](PolicyHarness& w, int id) {
     return w.reasons.contains(id) ? w.reasons[id] : RejectionReason::none;
   };
@@ -67,7 +66,7 @@
   EXPECT_EQ(reason_of(starting, id), RejectionReason::slow_start);
 }
 
-TEST(ListSubscription, IsAskedForAgainAfterFailures) {
+TEST(ListSubscription, RetriesAfterFailures) {
   PolicyHarness w({}, 2, 3);
   int asks = 0;
   for (double t = 0; t < 8000; t += w.policy.tick_interval_ms()) {
@@ -80,7 +79,7 @@
   EXPECT_LE(asks, 8);
 }
 
-TEST(PolicySettings, UnreadableValueIsNamed) {
+TEST(PolicySettings, InvalidValueIsAnEvent) {
   auto s = settings_of({});
   s["rules.cold_share"] = "cold";
   Policy b(s, 1, 0);
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// The retry policy: budget, groups, time limits.
+// Retry policy, retry budget and hedging: budget, groups of servers, time limits.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -8,8 +8,8 @@
 namespace meadowgauge::test {
 namespace {
 
-// A retry storm multiplies over tiers: attempts beyond the first stay within a share of the requests.
-TEST(RetryPolicy, StayWithinTheirBudget) {
+// Retries multiply over tiers: they stay within a share of the requests.
+TEST(RetryPolicy, StaysWithinTheBudget) {
   PolicyHarness w({}, 4, 3);
   for (int i = 0; i < 200; ++i) {
     int id = w.submit(0, 5000);
@@ -21,9 +21,9 @@
   EXPECT_LT(sum, 200 * 1.25 + 12);
 }
 
-// On sockets a list tells of a server that has gone no more than that. Its zone and its cell passed for the
-// first ones then, and a tagged request that it may have run went on there.
-TEST(RetryPolicy, ADeduplicatedRequestStaysInItsGroupWhenItsServerIsGone) {
+// A list entry of an endpoint that has gone has no zone or cell. The last known ones decide where a
+// deduplicated request may go that it may have run.
+TEST(RetryPolicy, KeepsTheGroupOfAnEndpointThatHasGone) {
   for (int request_class : {3, 4}) {
     PolicyHarness w({.copies = false}, 6, 5);
     int id = w.submit(request_class, 5000);
@@ -33,7 +33,7 @@
     w.update_endpoints(EndpointListUpdate::delta, {{.endpoint = endpoint, .state = EndpointState::gone}});
     w.end(id, 0, Outcome::reset);
     EXPECT_EQ(w.check.breach, "") << request_class;
-    // None of its group is left: what may have run ends there.
+    // None of its group is left, so there is no other attempt.
     std::vector<EndpointEntry> others{w.entries[0], w.entries[2]};
     int next = w.submit(request_class, 5000);
     w.update_endpoints(EndpointListUpdate::full, others);
@@ -42,9 +42,8 @@
   }
 }
 
-// What it may have run is remembered where it stood then: once a list had moved it, its new zone passed for
-// the first attempt's.
-TEST(RetryPolicy, ADeduplicatedRequestStaysInItsGroupWhenItsServerMoves) {
+// The group is that of the endpoint when it was picked, whatever zone a later list gives it.
+TEST(RetryPolicy, KeepsTheGroupOfAnEndpointThatMoves) {
   for (int request_class : {3, 4}) {
     PolicyHarness w({.copies = false}, 6, 5);
     int id = w.submit(request_class, 5000);
@@ -62,9 +61,8 @@
   }
 }
 
-// Another attempt at what may have run waits for its connection no longer than the window of the key: the
-// server would have forgotten the first.
-TEST(RetryPolicy, AnotherAttemptHasToBeSentWithinTheWindowOfTheKey) {
+// A retry waits for its connection no longer than the key's window: the server would have forgotten the key.
+TEST(RetryPolicy, RetryIsSentWithinTheKeyWindow) {
   constexpr double window_ms = 1000;
   PolicyHarness w({.ttl = window_ms, .copies = false}, 4, 3);
   int id = w.submit(2, 5000);
@@ -77,16 +75,15 @@
   EXPECT_LE(send_by_ms, window_ms - 300);
 }
 
-// A client that is told to come again with its key later than the window of the key comes to servers that
-// have forgotten the first attempt.
-TEST(RetryPolicy, ARejectedClientComesAgainWithinTheWindowOfItsKey) {
+// A client must not be sent away until after its key's window: the servers would have forgotten the key.
+TEST(RetryPolicy, RetryAfterEndsWithinTheKeyWindow) {
   constexpr double window_ms = 1000;
   int rejected = 0;
-  for (double longest_ms : {200.0, 5000.0})
+  for (double max_retry_after_ms : {200.0, 5000.0})
     for (double waited_ms : {5.0, 400.0, 850.0}) {
-      PolicyHarness w(
-          {.ttl = window_ms, .copies = false}, 4, 3,
-          {{"limits.retry_after", "true"}, {"limits.max_retry_after_ms", std::to_string(longest_ms)}});
+      PolicyHarness w({.ttl = window_ms, .copies = false}, 4, 3,
+                      {{"limits.retry_after", "true"},
+                       {"limits.max_retry_after_ms", std::to_string(max_retry_after_ms)}});
       int id = w.submit(2, 5000);
       double sent_at_ms = w.now_ms;
       feed(w, 0, 300);
@@ -97,15 +94,16 @@
       if (w.finals.at(id) != Decision::reject) continue;
       ++rejected;
       EXPECT_GT(w.advised, 0);
-      EXPECT_LE(w.now_ms + w.advised, sent_at_ms + window_ms) << longest_ms << " " << waited_ms;
+      EXPECT_LE(w.now_ms + w.advised, sent_at_ms + window_ms) << max_retry_after_ms << " " << waited_ms;
     }
   EXPECT_EQ(rejected, 2);  // of those that have time to come again
 }
 
-// A body that comes slowly put off the start of the window to its last byte, though the key was there with
-// the first.
-TEST(RetryPolicy, TheWindowOfTheKeyBeginsWithTheFirstByte) {
-  constexpr double window_ms = 1000, body_took_ms = 500, answered_after_ms = 450;
+// The server has the key with the first byte of a body that arrives slowly.
+TEST(RetryPolicy, KeyWindowBeginsWithTheFirstByte) {
+  constexpr double window_ms = 1000;
+  constexpr double body_took_ms = 500;
+  constexpr double answered_after_ms = 450;
   PolicyHarness w({.ttl = window_ms, .copies = false}, 4, 3);
   Request request{.request_class = 2,
                   .arrived_ms = w.now_ms,
@@ -119,11 +117,11 @@
   request.body_forwarded = true;
   auto decision =
       w.policy.attempt_ended(request, {.attempt = 0, .outcome = Outcome::reset, .load_report = {}}, w.now_ms);
-  EXPECT_EQ(decision.kind, Decision::fail);  // a tenth of the window is kept in hand
+  EXPECT_EQ(decision.kind, Decision::fail);  // a tenth of the window is not used
 }
 
-// One given up for want of time was fetched twice more, 5 ms each, and answered after its client had gone.
-TEST(RetryPolicy, DoNotPutOffTheFinalAnswer) {
+// Shortly before the deadline there is no retry, or the final answer would come after it.
+TEST(RetryPolicy, DoesNotDelayTheFinalAnswer) {
   PolicyHarness w({}, 4, 3);
   int id = w.submit(0, 900);
   w.pass(895);
@@ -131,8 +129,8 @@
   EXPECT_EQ(w.sends[0] + w.sends[1] + w.sends[2] + w.sends[3], 1);
 }
 
-// What never came up cost nobody work: any other server may have it, whatever the budget.
-TEST(RetryPolicy, AreFreeForWhatNeverCameUp) {
+// An attempt that reached no endpoint cost no work: its retry needs no budget.
+TEST(RetryPolicy, UnreachableEndpointCostsNoBudget) {
   PolicyHarness w({}, 4, 3);
   for (int i = 0; i < 100; ++i) {
     int id = w.submit(1, 5000);
@@ -143,8 +141,8 @@
   EXPECT_TRUE(w.finals.empty());
 }
 
-// A silent server kept a request until it was due where no copy may go beside it.
-TEST(RetryPolicy, AnAttemptIsGivenUpInTimeForAnother) {
+// Where hedging is not allowed, an attempt at an unresponsive endpoint is given up in time for a retry.
+TEST(RetryPolicy, AttemptIsGivenUpInTimeForARetry) {
   PolicyHarness w({.copies = false}, 30, 5, depth_reported);
   w.load_report_of = [](int) { return LoadReport{2, {80, 0}}; };
   for (int i = 0; i < 40; ++i) {
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -1,5 +1,4 @@
-// The four rules under random runs of the policy without sockets, and the checker of the rules itself against
-// deliberate breaches.
+// The four rules under random runs of the policy, and the rule checker itself against deliberate breaches.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -38,7 +37,7 @@
       break;
     case 10:
       w.entries[position].state = static_cast<EndpointState>(b % 3);
-      // Of an endpoint that is gone a list may state nothing more.
+      // A list may state nothing else of an endpoint that has gone.
       if (b % 3 == 0 && b % 2 == 0)
         w.update_endpoints(EndpointListUpdate::delta, {{.endpoint = endpoint, .state = EndpointState::gone}});
       else
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Slow start: what an endpoint gets that has just started.
+// Slow start: how many requests a warming endpoint gets.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -31,11 +31,10 @@
   EXPECT_GT(w.sends[0] - before, 0);
   EXPECT_LT(w.sends[0] - before,
             rules.overload_factor * rules.initial_share * 0.02 *
-                rules.overload_window_ms);  // 0.02 a ms: the rate of one that has warmed up
+                rules.overload_window_ms);  // 0.02 a ms: the rate of a warm endpoint
 }
 
-// With a whole token at each of a thousand balancers a server 2.2 s after its start was sent 6.9 times what
-// it could serve (farm-live overload).
+// Whole tokens at each of a thousand balancers would overload an endpoint at its start.
 TEST(SlowStart, AThousandBalancersSendLittleToOneThatStarts) {
   int sent = 0, usual = 0;
   for (int me = 0; me < 200; ++me) {
@@ -54,14 +53,14 @@
     for (int i = 0; i < 5; ++i) request(), w.pass(250);
     sent += w.sends[0];
   }
-  // At its start a server does 0.3 of its full work: at the usual rate it would be sent half of `usual`.
+  // At its start an endpoint has 0.3 of its capacity; by the rate of warm ones it would get half of `usual`.
   EXPECT_LT(sent, 0.5 * usual * 0.5);
   EXPECT_GT(sent, 0);
 }
 
-// The ramp is the fleet's: whatever the number of balancers, and with their traffic uneven, a server that
-// starts (one of ten, `rate` requests a ms in all) gets no more in any window than its budget of N and 2 x
-// root of N + 2 for chance, from all together.
+// The budget holds for the sum of all balancers, for any number of them and uneven traffic: in any window a
+// warming endpoint (one of ten, `rate` requests a ms in all) gets at most its budget N and 2 * sqrt(N) + 2
+// for chance.
 TEST(SlowStart, TheSumOfAllBalancersKeepsToTheBudget) {
   struct Case {
     int balancers;
@@ -119,7 +118,7 @@
   }
 }
 
-// With every server new the budget of a single one never filled, and the tier was cut off.
+// With no warm endpoint the budgets never fill: requests go one at a time.
 TEST(SlowStart, TierOfNewServersIsUsedOneRequestAtATime) {
   PolicyHarness w({}, 3, 5);
   for (auto& e : w.entries) e.up_since_ms = w.now_ms - 1;
@@ -129,8 +128,7 @@
   EXPECT_EQ(w.check.breach, "");
 }
 
-// Clients that disconnected freed a lone starting server for the next request at once, though it may still
-// work on the last.
+// A warming endpoint may still work on a request whose client has disconnected: it pauses before the next.
 TEST(SlowStart, LoneServerRestsAfterACancelledRequest) {
   PolicyHarness w({}, 1, 5);
   w.entries[0].up_since_ms = w.now_ms - 1;
