--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -91,7 +91,7 @@
 
 void ConcurrencyLimiter::record_arrival() {
   double gain = std::max(recent_gain, 1.0 / static_cast<double>(++arrival_count_));
-  learned_.mean_in_flight += gain * (endpoints_.total_in_flight - learned_.mean_in_flight);
+  learned_.mean_in_flight += gain * (endpoints_.total_in_flight() - learned_.mean_in_flight);
 }
 
 // U, the number in flight that never congests the tier. A request occupies its endpoint while the tiers below
@@ -143,7 +143,7 @@
 // latencies.
 bool ConcurrencyLimiter::is_tier_full(const Request& request, double ready_endpoints) {
   record_arrival();
-  double in_flight = endpoints_.total_in_flight;
+  double in_flight = endpoints_.total_in_flight();
   double share = capacity_share(request);
   double uncongested = uncongested_in_flight(ready_endpoints, share);
   double overload = overload_ratio(share);
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -79,12 +79,21 @@
     if (!knows(index)) all_.resize(position_of(index) + 1);
   }
 
-  std::vector<EndpointIndex> listed;
-  double mean_weight = 1;   // of the listed ones
-  int total_in_flight = 0;  // own attempts, to all endpoints
+  // Endpoints in the current list, draining ones included.
+  [[nodiscard]] const std::vector<EndpointIndex>& listed() const { return listed_; }
+  [[nodiscard]] std::vector<EndpointIndex>& mutable_listed() { return listed_; }
+  // Mean weight of the listed endpoints; 1 where there is none.
+  [[nodiscard]] double mean_weight() const { return mean_weight_; }
+  void set_mean_weight(double mean_weight) { mean_weight_ = mean_weight; }
+  // Own attempts in flight to all endpoints.
+  [[nodiscard]] int total_in_flight() const { return total_in_flight_; }
+  void add_in_flight(int attempts) { total_in_flight_ += attempts; }
 
  private:
   std::vector<Endpoint> all_;
+  std::vector<EndpointIndex> listed_;
+  double mean_weight_ = 1;
+  int total_in_flight_ = 0;
 };
 
 // The endpoint's load report as gossip carries it.
--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -72,7 +72,7 @@
   TierCounts tier;
   double sum_in_flight = 0;
   int with_outcome = 0;
-  for (EndpointIndex index : parts_.endpoints.listed) {
+  for (EndpointIndex index : parts_.endpoints.listed()) {
     auto& endpoint = parts_.endpoints[index];
     if (!endpoint.is_available()) continue;
     ++tier.ready;
@@ -95,7 +95,7 @@
 // The panic threshold's candidates. An endpoint that was tried before comes again only where it is alone.
 void EndpointPicker::gather_regardless_of_health(const Request& request, int ready, double now_ms) {
   candidates_.clear();
-  for (EndpointIndex index : parts_.endpoints.listed)
+  for (EndpointIndex index : parts_.endpoints.listed())
     if (is_permitted(request, index, now_ms) && (!has_tried(request, index) || ready == 1))
       candidates_.push_back(index);
 }
--- a/src/policy/endpoint_updater.cpp
+++ b/src/policy/endpoint_updater.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 void EndpointUpdater::update(bool is_complete, std::span<const EndpointEntry> entries, double now_ms) {
-  auto& listed = endpoints_.listed;
+  auto& listed = endpoints_.mutable_listed();
   if (is_complete)
     for (EndpointIndex index : listed) endpoints_[index].state = EndpointState::gone;
   for (const auto& entry : entries)
@@ -22,10 +22,10 @@
 }
 
 void EndpointUpdater::update_mean_weight() {
-  const auto& listed = endpoints_.listed;
+  const auto& listed = endpoints_.listed();
   double sum_of_weights = 0;
   for (EndpointIndex index : listed) sum_of_weights += endpoints_[index].weight;
-  endpoints_.mean_weight = listed.empty() ? 1 : sum_of_weights / static_cast<double>(listed.size());
+  endpoints_.set_mean_weight(listed.empty() ? 1 : sum_of_weights / static_cast<double>(listed.size()));
 }
 
 void EndpointUpdater::update_endpoint(const EndpointEntry& entry, double now_ms) {
@@ -35,7 +35,7 @@
   // An entry that has gone carries no other values. The last zone and cell stay: they decide where a request
   // may go that an attempt there may have run.
   if (entry.state == EndpointState::gone) return;
-  auto& listed = endpoints_.listed;
+  auto& listed = endpoints_.mutable_listed();
   bool is_listed = std::find(listed.begin(), listed.end(), entry.endpoint) != listed.end();
   if (!is_listed) listed.push_back(entry.endpoint);
   if (!is_listed || entry.up_since_ms > endpoint.up_since_ms)
--- a/src/policy/endpoint_updater.hpp
+++ b/src/policy/endpoint_updater.hpp
@@ -31,7 +31,7 @@
   void update_endpoint(const EndpointEntry& entry, double now_ms);
   void reset_for_new_process(Endpoint& endpoint, bool is_listed, double now_ms);
   void copy_listed_values(const EndpointEntry& entry, Endpoint& endpoint);
-  void end_manual_drain(Endpoint& endpoint, double now_ms);
+  static void end_manual_drain(Endpoint& endpoint, double now_ms);
   void update_mean_weight();
 
   const PolicySettings& settings_;
--- a/src/policy/key_affinity.cpp
+++ b/src/policy/key_affinity.cpp
@@ -60,7 +60,7 @@
 void KeyAffinity::choose(Choice& best, Ranking& ranking, double popularity, double crossing_ms,
                          double now_ms) {
   if (ranking.empty()) return;
-  double size = static_cast<double>(ranking.size());
+  auto size = static_cast<double>(ranking.size());
   auto serving = static_cast<std::size_t>(std::ceil(popularity * size * spread_multiplier));
   serving = std::max<std::size_t>(1, serving);
   auto ranked = std::min(ranking.size(), serving + extra_ranked_endpoints);
--- a/src/policy/key_affinity.hpp
+++ b/src/policy/key_affinity.hpp
@@ -45,7 +45,9 @@
   struct RankedEndpoint {
     double score = 0;
     EndpointIndex endpoint = no_endpoint;
-    auto operator<=>(const RankedEndpoint&) const = default;
+    bool operator<(const RankedEndpoint& other) const {
+      return score != other.score ? score < other.score : endpoint < other.endpoint;
+    }
   };
   using Ranking = std::vector<RankedEndpoint>;
   struct Choice {
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -45,7 +45,7 @@
 
 // Draws endpoints that may get the request, at random for each attempt.
 bool LoadEstimator::request_probes(Request& request, Decision& decision, double now_ms) {
-  const auto& listed = endpoints_.listed;
+  const auto& listed = endpoints_.listed();
   if (!uses_probes() || request.probes_requested_for_attempt > request.attempt_count || listed.empty())
     return false;
   if (now_ms + 2 * probe_wait_ms() >= request.deadline_ms) return false;
@@ -53,7 +53,7 @@
   for (int n = 0; n < draws_per_probe * probes_per_request && decision.probe_count < probes_per_request;
        ++n) {
     EndpointIndex index = listed[random_.below(listed.size())];
-    auto end = decision.probes.begin() + decision.probe_count;
+    auto* end = decision.probes.begin() + decision.probe_count;
     bool is_drawn = std::find(decision.probes.begin(), end, index) != end;
     const auto& endpoint = endpoints_[index];
     bool may_get_it =
@@ -104,14 +104,14 @@
   bool has_succeeded = attempt.outcome == Outcome::succeeded;
   if (has_succeeded && settings_.depth_column < report.count) record_depth(endpoint, attempt, report, now_ms);
   bool is_overloaded = record_overload(endpoint, attempt, now_ms);
-  outliers_.record_for_report(endpoint, !has_succeeded, is_overloaded, now_ms);
+  OutlierDetector::record_for_report(endpoint, !has_succeeded, is_overloaded, now_ms);
   endpoint.load.reported_at_ms = now_ms;
 }
 
 // Raises the expected latency of an endpoint that rejected an attempt or let it time out. Returns whether
 // that is a sign of overload and not of a fault: an overloaded endpoint must not be ejected, or its keys
 // would move to others and cost more there.
-bool LoadEstimator::record_overload(Endpoint& endpoint, const Attempt& attempt, double now_ms) {
+bool LoadEstimator::record_overload(Endpoint& endpoint, const Attempt& attempt, double now_ms) const {
   auto& load = endpoint.load;
   if (attempt.outcome == Outcome::rejected) {
     load.response_ms = std::max(load.response_ms, rejection_latency_multiplier * typical_response_ms_);
@@ -147,7 +147,7 @@
 void LoadEstimator::update_typical_response(const Endpoint& endpoint, double reported_at_ms, double now_ms) {
   if (now_ms - reported_at_ms > report_decay_ms) return;
   typical_reported_at_ms_ = std::max(typical_reported_at_ms_, reported_at_ms);
-  double response_ms = endpoint.load.response_ms * endpoint.weight / endpoints_.mean_weight;
+  double response_ms = endpoint.load.response_ms * endpoint.weight / endpoints_.mean_weight();
   double factor = std::exp(response_ms > typical_response_ms_ ? median_step_ratio : -median_step_ratio);
   typical_response_ms_ = typical_response_ms_ == 0 ? response_ms : typical_response_ms_ * factor;
 }
@@ -173,7 +173,7 @@
 double LoadEstimator::typical_ms_of(const Endpoint& endpoint, double now_ms) const {
   double left = std::exp((typical_reported_at_ms_ - now_ms) / typical_decay_ms);
   double typical_ms = mean_work_ms_ + (typical_response_ms_ - mean_work_ms_) * left;
-  return std::max(1.0, typical_ms * endpoints_.mean_weight / endpoint.weight);
+  return std::max(1.0, typical_ms * endpoints_.mean_weight() / endpoint.weight);
 }
 
 // The reported latency, decaying towards the typical one with the report's age.
@@ -201,10 +201,10 @@
 // Endpoints with a report fresh enough to be passed on, the latest first, as many as a message holds.
 std::vector<EndpointIndex> LoadEstimator::freshest_reports(double now_ms) const {
   std::vector<EndpointIndex> fresh;
-  for (EndpointIndex index : endpoints_.listed) {
+  for (EndpointIndex index : endpoints_.listed()) {
     const auto& endpoint = endpoints_[index];
     double age_ms = now_ms - endpoint.load.reported_at_ms;
-    if (age_ms < outliers_.report_lasts_ms(endpoint, report_decay_ms)) fresh.push_back(index);
+    if (age_ms < OutlierDetector::report_lasts_ms(endpoint, report_decay_ms)) fresh.push_back(index);
   }
   auto is_later = [this](EndpointIndex a, EndpointIndex b) {
     return endpoints_[a].load.reported_at_ms > endpoints_[b].load.reported_at_ms;
@@ -219,8 +219,8 @@
 void LoadEstimator::gossip_received(const std::vector<EndpointReport>& reports, double now_ms) {
   for (const auto& report : reports) {
     auto has_id = [&](EndpointIndex index) { return endpoints_[index].id == report.id; };
-    auto it = std::find_if(endpoints_.listed.begin(), endpoints_.listed.end(), has_id);
-    if (it == endpoints_.listed.end()) continue;
+    auto it = std::find_if(endpoints_.listed().begin(), endpoints_.listed().end(), has_id);
+    if (it == endpoints_.listed().end()) continue;
     auto& endpoint = endpoints_[*it];
     double reported_at_ms = now_ms - report.age_ms;
     if (reported_at_ms <= endpoint.load.reported_at_ms || reported_at_ms <= endpoint.up_since_ms) continue;
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -96,7 +96,7 @@
     int samples = 0;
   };
   [[nodiscard]] double first_gossip_in_ms();
-  bool record_overload(Endpoint& endpoint, const Attempt& attempt, double now_ms);
+  bool record_overload(Endpoint& endpoint, const Attempt& attempt, double now_ms) const;
   void record_depth(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report, double now_ms);
   void update_typical_response(const Endpoint& endpoint, double reported_at_ms, double now_ms);
   [[nodiscard]] double typical_ms_of(const Endpoint& endpoint, double now_ms) const;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -64,7 +64,7 @@
 double OutlierDetector::peers_failure_share(EndpointIndex index, double now_ms) {
   double successes = 0;
   double failures = peers_prior_failures_count;
-  for (EndpointIndex peer : endpoints_.listed) {
+  for (EndpointIndex peer : endpoints_.listed()) {
     if (peer == index) continue;
     decay(endpoints_[peer], now_ms);
     successes += endpoints_[peer].outlier.successes;
@@ -137,7 +137,7 @@
 // and to its server kind. In a large tier one endpoint is seen too seldom to tell; its kind stands in.
 void OutlierDetector::record_relative_latency(Endpoint& endpoint, RequestClass& request_class,
                                               double took_ms) {
-  double log_latency = std::log(std::max(1.0, took_ms) * endpoint.weight / endpoints_.mean_weight);
+  double log_latency = std::log(std::max(1.0, took_ms) * endpoint.weight / endpoints_.mean_weight());
   double excess = request_class.mean_log_latency > 0 ? log_latency - request_class.mean_log_latency : 0;
   blend(request_class.mean_log_latency, log_latency, class_latency_gain);
   endpoint.outlier.log_latency_excess += excess;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -51,6 +51,8 @@
 
 PeriodicActions Policy::tick(double now_ms) { return core_->tick(now_ms); }
 
+double Policy::tick_interval_ms() const { return core_->tick_interval_ms(); }
+
 void Policy::set_manual_drain(EndpointIndex endpoint, bool drained, double now_ms) {
   core_->set_manual_drain(endpoint, drained, now_ms);
 }
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -27,6 +27,8 @@
  public:
   // A setting that is not a number takes its default and is an event of the first tick().
   Policy(const Settings& settings, std::uint64_t seed, double now_ms);
+  Policy(const Policy&) = delete;
+  Policy& operator=(const Policy&) = delete;
   Policy(Policy&&) noexcept;
   Policy& operator=(Policy&&) noexcept;
   ~Policy();
--- a/src/policy/policy_core.cpp
+++ b/src/policy/policy_core.cpp
@@ -6,14 +6,11 @@
 namespace meadowgauge {
 namespace {
 
-constexpr double periodic_interval_ms = 100;           // between two calls of tick()
 constexpr double min_reported_drop_probability = 0.1;  // of the throttle, from which it is reported
 constexpr double drop_report_interval_ms = 5000;
 
 }  // namespace
 
-double Policy::tick_interval_ms() const { return periodic_interval_ms; }
-
 Policy::Core::Core(const Settings& table, std::uint64_t seed, double now_ms)
     : settings_(read_policy_settings(table, events_)),
       random_(seed),
@@ -264,7 +261,7 @@
              .picked_at_ms = now_ms,
              .sent_at_ms = now_ms,
              .outcome = Outcome::superseded,
-             .in_flight_at_send = endpoints_.total_in_flight + 1,
+             .in_flight_at_send = endpoints_.total_in_flight() + 1,
              .in_flight = true};
   ++request.in_flight;
   return attempt;
@@ -280,7 +277,7 @@
 void Policy::Core::start_work(Attempt& attempt, double now_ms) {
   auto& endpoint = endpoints_[attempt.endpoint];
   attempt.counted_in_flight = true;
-  ++endpoints_.total_in_flight;
+  endpoints_.add_in_flight(1);
   if (endpoint.in_flight++ == 0) endpoint.last_sign_at_ms = now_ms;
 }
 
@@ -288,7 +285,7 @@
   auto& endpoint = endpoints_[attempt.endpoint];
   endpoint.last_sign_at_ms = now_ms;
   if (!std::exchange(attempt.counted_in_flight, false)) return;
-  --endpoints_.total_in_flight;
+  endpoints_.add_in_flight(-1);
   endpoint.in_flight = std::max(0, endpoint.in_flight - 1);
 }
 
@@ -318,13 +315,13 @@
 PeriodicActions Policy::Core::tick(double now_ms) {
   PeriodicActions actions;
   actions.subscribe = subscription_.tick(now_ms);
-  limiter_.tick(periodic_interval_ms);
+  limiter_.tick(tick_interval_ms_);
   locality_.tick();
   if (auto message = load_.gossip_due(now_ms)) {
     message->content.keys = affinity_.shares();
     actions.gossip.push_back(std::move(*message));
   }
-  slow_start_.tick(periodic_interval_ms, now_ms);
+  slow_start_.tick(tick_interval_ms_, now_ms);
   report_drops(now_ms);
   actions.events = std::exchange(events_, {});
   return actions;
@@ -340,7 +337,7 @@
 
 int Policy::Core::unavailable_endpoints(double now_ms, std::vector<EndpointIndex>* unhealthy) const {
   int count = 0;
-  for (EndpointIndex index : endpoints_.listed) {
+  for (EndpointIndex index : endpoints_.listed()) {
     const auto& endpoint = endpoints_[index];
     bool is_outlier = OutlierDetector::ejected(endpoint, now_ms) || outliers_.unresponsive(endpoint, now_ms);
     bool is_unhealthy = endpoint.state == EndpointState::ready && is_outlier;
@@ -368,7 +365,7 @@
   LearnedState state;
   if (!limiter_.has_learned_tier()) return state;
   save(learned_parts(), state);
-  for (EndpointIndex index : endpoints_.listed) {
+  for (EndpointIndex index : endpoints_.listed()) {
     double until_ms = outliers_.ejected_for_successor(endpoints_[index], now_ms);
     if (until_ms > 0) save_ejection(index, until_ms, state);
   }
@@ -384,7 +381,7 @@
   outliers_.restore_p95_latency_ms(parts.p95_latency_ms);
   for (std::size_t i = 0; i < classes_.all.size(); ++i)
     classes_.all[i].mean_log_latency = parts.class_mean_log_latency[i];
-  for (EndpointIndex index : endpoints_.listed) {
+  for (EndpointIndex index : endpoints_.listed()) {
     endpoints_[index].awaiting_first_outcome = false;
     auto until_ms = saved_ejection(state, index);
     if (until_ms && *until_ms > now_ms)
--- a/src/policy/policy_core.hpp
+++ b/src/policy/policy_core.hpp
@@ -58,6 +58,7 @@
                    double now_ms);
   void gossip_received(const GossipContent& content, double now_ms);
   PeriodicActions tick(double now_ms);
+  [[nodiscard]] double tick_interval_ms() const { return tick_interval_ms_; }
 
   [[nodiscard]] int unavailable_endpoints(double now_ms, std::vector<EndpointIndex>* unhealthy) const;
   [[nodiscard]] double drop_probability(double now_ms) const { return throttle_.drop_probability(now_ms); }
@@ -109,6 +110,7 @@
   EndpointPicker picker_;
   EndpointUpdater updater_;
   ListSubscription subscription_;
+  double tick_interval_ms_ = 100;  // between two calls of tick()
   double drops_reported_at_ms_ = -never;
 };
 
--- a/src/policy/policy_settings.cpp
+++ b/src/policy/policy_settings.cpp
@@ -9,7 +9,8 @@
 
 RequestClassSettings read_request_class(SettingsReader& reader, const std::string& under) {
   RequestClassSettings c;
-  auto repeat = reader.text(under + "repeat"), group = reader.text(under + "group");
+  auto repeat = reader.text(under + "repeat");
+  auto group = reader.text(under + "group");
   c.idempotency = repeat == "idempotent"     ? Idempotency::idempotent
                   : repeat == "deduplicated" ? Idempotency::deduplicated
                                              : Idempotency::non_idempotent;
--- a/src/policy/settings_reader.cpp
+++ b/src/policy/settings_reader.cpp
@@ -33,7 +33,7 @@
   for (int column = 0;; ++column) {
     auto comma = columns.find(',');
     if (columns.substr(0, comma) == name) return column;
-    if (comma == columns.npos) return -1;
+    if (comma == std::string_view::npos) return -1;
     columns.remove_prefix(comma + 1);
   }
 }
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -42,7 +42,7 @@
 }
 
 void SlowStart::update_any_warmed_up(double now_ms) {
-  any_warmed_up_ = std::ranges::any_of(endpoints_.listed, [&](EndpointIndex index) {
+  any_warmed_up_ = std::ranges::any_of(endpoints_.listed(), [&](EndpointIndex index) {
     return endpoints_[index].is_available() && !warming_up(endpoints_[index], now_ms);
   });
 }
@@ -56,7 +56,7 @@
 }
 
 // Nothing of this balancer is in flight there, and nothing has failed there a moment ago.
-bool SlowStart::is_idle(const Endpoint& endpoint, double now_ms) const {
+bool SlowStart::is_idle(const Endpoint& endpoint, double now_ms) {
   return endpoint.in_flight == 0 && now_ms - endpoint.slow_start.failed_at_ms > failure_pause_ms;
 }
 
@@ -81,7 +81,7 @@
   double sum_of_successes = 0;
   int warm_endpoints = 0;
   double left = std::exp(-interval_ms / success_decay_ms);
-  for (EndpointIndex index : endpoints_.listed) {
+  for (EndpointIndex index : endpoints_.listed()) {
     auto& endpoint = endpoints_[index];
     endpoint.slow_start.success_rate *= left;
     if (!endpoint.is_available() || warming_up(endpoint, now_ms)) continue;
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -51,7 +51,7 @@
 
  private:
   [[nodiscard]] double tokens_per_ms(double capacity_fraction) const;
-  [[nodiscard]] bool is_idle(const Endpoint& endpoint, double now_ms) const;
+  [[nodiscard]] static bool is_idle(const Endpoint& endpoint, double now_ms);
   [[nodiscard]] bool is_probed_idle(const Endpoint& endpoint, double now_ms) const;
 
   const PolicySettings& settings_;
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -173,9 +173,9 @@
   slow_start,         // only warming endpoints are left, and their budget is spent
   no_server           // no endpoint is ready, or all have been tried
 };
-inline constexpr std::string_view reason_names[] = {"none",           "throttle",   "concurrency_limit",
-                                                    "retry_budget",   "attempts",   "deadline",
-                                                    "not_repeatable", "slow_start", "no_server"};
+inline constexpr auto reason_names =
+    std::to_array<std::string_view>({"none", "throttle", "concurrency_limit", "retry_budget", "attempts",
+                                     "deadline", "not_repeatable", "slow_start", "no_server"});
 inline constexpr std::size_t reason_count = std::size(reason_names);
 
 // What to do with a request now.
