--- a/src/fleet/config.cpp
+++ b/src/fleet/config.cpp
@@ -15,16 +15,17 @@
 namespace {
 
 constexpr std::size_t max_members = 2048;
-constexpr std::string_view other_tenants_name = "(others)";  // those that the file does not name, together
+constexpr std::string_view other_tenants_name = "(others)";  // in the file: all tenants it does not name
 
-std::string shortest(double value) {
+// Up to ten significant digits. Part of the digest: every instance must write a value alike.
+std::string to_text(double value) {
   std::ostringstream text;
   text.precision(10);
   text << value;
   return text.str();
 }
 
-// -1: it is not among them.
+// The position of `name`; -1 where it is absent.
 int index_in(const std::vector<std::string>& names, const std::string& name) {
   auto it = std::find(names.begin(), names.end(), name);
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
@@ -43,7 +44,7 @@
   return index >= 0 ? index : match_none;
 }
 
-// The [[fleet.peers]] of a file, with what must not stand twice.
+// Reads [[fleet.peers]] and checks that names and addresses are unique.
 class MemberReader {
  public:
   void read(Reader& table) {
@@ -108,10 +109,10 @@
   std::set<std::string> names;
   for (const auto& limit : terms.limits) {
     if (!names.insert(limit.name).second) root.wrong("limits", "state one twice: " + limit.name);
-    // A request needs a whole token where it arrives.
+    // A request needs a whole token at the instance where it arrives.
     if (fixed_burst_share * limit.burst / terms.instances < 1)
-      root.wrong("limits", "leave less than one visit at each instance: burst of " + limit.name +
-                               " is below " + shortest(std::ceil(terms.instances / fixed_burst_share)));
+      root.wrong("limits", "leave less than one request at each instance: burst of " + limit.name +
+                               " is below " + to_text(std::ceil(terms.instances / fixed_burst_share)));
   }
   if (terms.limits.size() > membership::max_limits)
     root.wrong("limits", "of the fleet are more than " + std::to_string(membership::max_limits));
@@ -120,27 +121,27 @@
 }  // namespace
 
 std::uint64_t FleetConfig::digest() const {
-  std::string text = shortest(terms.lease_ms);
+  std::string text = to_text(terms.lease_ms);
   // Sorted by name: files may list peers in another order.
   std::vector<std::string> lines;
-  for (const auto& member : members) lines.push_back(member.name + "=" + shortest(member.weight));
+  for (const auto& member : members) lines.push_back(member.name + "=" + to_text(member.weight));
   std::sort(lines.begin(), lines.end());
   for (const auto& line : lines) text += "\n" + line;
   for (const auto& limit : terms.limits)
-    text += "\n" + limit.name + " " + shortest(limit.rate) + " " + shortest(limit.burst);
+    text += "\n" + limit.name + " " + to_text(limit.rate) + " " + to_text(limit.burst);
   return membership::digest(text);
 }
 
 std::vector<std::string> FleetConfig::describe_bounds() const {
   std::vector<std::string> lines;
-  double own_after_ms = std::ceil(terms.lease_ms * (1 + lease_drift));
+  double own_after_ms = std::ceil(terms.lease_ms * (1 + lease_drift_ratio));
   for (const auto& limit : terms.limits) {
     std::ostringstream line;
     line << "limit " << limit.name << ": over any W ms the fleet admits at most "
-         << shortest(limit.rate / 1000) << " * W + " << shortest(limit.burst)
-         << "; alone, this instance goes on with " << shortest(limit.rate * terms.share) << " a second, "
-         << shortest(own_after_ms) << " ms after a cut or a start at the latest; at rest it holds "
-         << shortest(fixed_burst_share * limit.burst / terms.instances) << " of the burst";
+         << to_text(limit.rate / 1000) << " * W + " << to_text(limit.burst)
+         << "; alone, this instance goes on with " << to_text(limit.rate * terms.share) << " a second, "
+         << to_text(own_after_ms) << " ms after a cut or a start at the latest; at rest it holds "
+         << to_text(fixed_burst_share * limit.burst / terms.instances) << " of the burst";
     lines.push_back(line.str());
   }
   return lines;
--- a/src/fleet/config.hpp
+++ b/src/fleet/config.hpp
@@ -1,5 +1,5 @@
-// The fleet's part of the operator's file: [fleet], [[fleet.peers]], [[limits.fleet]]. docs/operate/fleet.md
-// has the keys.
+// The fleet's tables in the operator's file: [fleet], [[fleet.peers]], [[limits.fleet]]. The keys are
+// described in docs/operate/fleet.md.
 #pragma once
 
 #include <cstdint>
@@ -14,44 +14,44 @@
 
 namespace meadowgauge::fleet {
 
-// An instance of the fleet, as [[fleet.peers]] states it.
+// An instance of the fleet: an entry of [[fleet.peers]].
 struct FleetMember {
   std::string name;
-  transport::Address address;  // its datagrams come from and go to it
+  transport::Address address;  // UDP; source and destination of its datagrams
   std::string zone;
   std::string region;
-  double weight = 1;  // of its share of each limit, against the others' weights
+  double weight = 1;  // share of each limit, relative to the other members' weights
 };
 
-// What [fleet] and [[limits.fleet]] state, and what follows from it.
+// The content of [fleet] and [[limits.fleet]], with the values derived from it.
 struct FleetConfig {
-  std::string name;           // of this instance among the members
+  std::string name;           // this instance's name in `members`
   transport::Address listen;  // UDP
   membership::GossipTiming timing;
-  bool verdicts = false;               // on servers, by all instances together
-  double lease_datagrams_per_s = 200;  // requests and grants, beside the rounds of gossip
-  std::vector<FleetMember> members;    // this one among them
+  bool verdicts = false;               // whether the instances eject servers together
+  double lease_datagrams_per_s = 200;  // lease requests and grants; gossip is not counted
+  std::vector<FleetMember> members;    // with this instance
   LimitTerms terms;
   std::vector<std::string> tenants;          // by their index
   std::vector<std::string> request_classes;  // by their index
 
-  // Gives limits the indices of what they name, by the lists of the process's start. Returns the limits that
-  // name what is not there; they limit nobody.
+  // Sets each limit's tenant and class index by the lists that the process started with. Returns the limits
+  // with an unknown name; they match no request.
   std::vector<std::string> resolve_names(const std::vector<std::string>& tenants_at_start,
                                          const std::vector<std::string>& request_classes_at_start);
-  // Over all that must be the same at every instance: names, weights, limits, lease.
+  // Covers the settings that all instances must share: names, weights, limits, lease.
   [[nodiscard]] std::uint64_t digest() const;
-  // The bound in words, a line for each limit; for `check`.
+  // The admission bound of each limit as a line of text, for `check`.
   [[nodiscard]] std::vector<std::string> describe_bounds() const;
 };
 
-// Reads the tables; what is wrong with them goes to the reader's list of problems.
+// Reads the fleet's tables. Problems are added to the reader's list.
 class FleetConfigReader {
  public:
-  // One table of [[limits.fleet]]. All of them are read before read().
+  // Reads one table of [[limits.fleet]]. To be called for all of them before read().
   void read_limit(settings::Reader& table);
-  // [fleet]; nothing where the table is absent. `root` is the whole file's table; `tenants` and
-  // `request_classes` are its names, in order.
+  // Reads [fleet]; no value where the table is absent. `root` is the whole file's table; `tenants` and
+  // `request_classes` are the file's names, in order.
   std::optional<FleetConfig> read(settings::Reader& root, const std::vector<std::string>& tenants,
                                   const std::vector<std::string>& request_classes);
 
--- a/src/fleet/config_agreement.hpp
+++ b/src/fleet/config_agreement.hpp
@@ -1,5 +1,5 @@
-// How the members' files compare with this instance's: a quota is lent and borrowed, and a larger share used,
-// only among instances whose files agree. Values without I/O; times are ms by this instance's clock.
+// Compares the members' files by their digests: instances lend, borrow and raise their shares only among
+// instances whose files agree. Values without I/O; times are ms by this instance's clock.
 #pragma once
 
 #include <cstdint>
@@ -9,17 +9,17 @@
 
 namespace meadowgauge::fleet {
 
-// What compare_configs() found.
+// Result of compare_configs().
 struct ConfigAgreement {
-  bool all_agree = true;             // each listed member was last seen with this instance's digest
-  bool live_member_differs = false;  // a member that is not gone has another one
+  bool all_agree = true;             // each listed member's newest state has this instance's digest
+  bool live_member_differs = false;  // a member that is not gone has another digest
 };
 
-// `config_digest` is this instance's own.
+// `config_digest` is this instance's digest.
 ConfigAgreement compare_configs(const membership::MemberTable& members, std::uint64_t config_digest,
                                 double now_ms);
 
-// What may be borrowed from `peer`: what it offers, as long as it is alive and its file agrees.
+// The quotas that `peer` offers; none unless the peer is alive and its file agrees.
 std::vector<membership::Quota> usable_offer(const membership::MemberTable& members,
                                             membership::PeerIndex peer, std::uint64_t config_digest,
                                             double now_ms);
--- a/src/fleet/datagram_budget.hpp
+++ b/src/fleet/datagram_budget.hpp
@@ -1,5 +1,5 @@
-// How many lease requests and grants an instance may send: with however many asking at once, it does not
-// spend its time on answers. A token bucket of one second, full at the start.
+// Bounds the rate of lease requests and grants that an instance sends, so that many borrowers at once can't
+// keep it from serving requests. A token bucket that holds one second's datagrams, full at the start.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 class DatagramBudget {
  public:
-  // True: one datagram may be sent now, and is counted. `per_s` is the limit in force; `now` in ms.
+  // Whether one datagram may be sent now; counts it. `per_s` is the limit in force, in datagrams a second.
   bool try_take(double per_s, double now_ms) {
     left_ = std::min(per_s, left_ + (now_ms - refilled_at_ms_) * per_s / 1000);
     refilled_at_ms_ = now_ms;
@@ -20,12 +20,12 @@
     left_ -= 1;
     return true;
   }
-  // Total since the start.
+  // Refused datagrams since the start.
   [[nodiscard]] std::uint64_t refused() const { return refused_; }
 
  private:
   double left_ = 0;
-  double refilled_at_ms_ = 0;  // by Unix time this is long ago: the first call fills it
+  double refilled_at_ms_ = 0;  // far in the past by Unix time, so the first call fills the bucket
   std::uint64_t refused_ = 0;
 };
 
--- a/src/fleet/limit.hpp
+++ b/src/fleet/limit.hpp
@@ -1,4 +1,4 @@
-// Rate limits that a whole fleet holds together, as the file states them.
+// Rate limits that all instances of a fleet hold together, as the operator's file states them.
 #pragma once
 
 #include <string>
@@ -6,10 +6,10 @@
 
 namespace meadowgauge::fleet {
 
-// What a limit's tenant or request class may be instead of an index.
-inline constexpr int match_none = -3;    // nothing: its name is not there
-inline constexpr int match_any = -2;     // all of them, together
-inline constexpr int match_others = -1;  // those that the file does not name, together
+// Special values of a limit's tenant or request class, in place of an index.
+inline constexpr int match_none = -3;    // matches nothing: the file defines no such name
+inline constexpr int match_any = -2;     // matches all of them, counted together
+inline constexpr int match_others = -1;  // matches those that the file does not name, counted together
 
 // A rate that the requests of a tenant, of a class, or of both share over the whole fleet.
 struct Limit {
@@ -22,19 +22,19 @@
   std::string request_class_name{};  // empty: any
 };
 
-// What all instances of a fleet must share, and this one's share of it.
+// The limits that all instances of a fleet must agree on, and this instance's share of each.
 struct LimitTerms {
   std::vector<Limit> limits;
   double lease_ms = 1000;
   int instances = 1;
-  double share = 1;  // of each limit; the shares of all instances add up to 1
+  double share = 1;  // of each limit, 0 to 1; the shares of all instances add up to 1
 };
 
-// How much longer than the borrower a lender counts a lease, as a share of the lease.
-inline constexpr double lease_drift = 0.01;
-// The part of `burst` that an instance holds whatever its rate, as a share of an equal split.
-inline constexpr double fixed_burst_share = 0.5;
-// What an owner never lends, as a share of its own rate.
-inline constexpr double reserved_share = 0.02;
+// A lender counts a lease for longer than the borrower by this part, to allow for clock drift.
+inline constexpr double lease_drift_ratio = 0.01;  // share of the lease
+// The part of the burst that is split evenly over the instances; the rest follows the leased rate.
+inline constexpr double fixed_burst_share = 0.5;  // share of the burst, 0 to 1
+// The part of its own rate that an owner never lends, so that its bucket refills without borrowing.
+inline constexpr double reserved_share = 0.02;  // share of the own rate, 0 to 1
 
 }  // namespace meadowgauge::fleet
--- a/src/fleet/limit_quota.cpp
+++ b/src/fleet/limit_quota.cpp
@@ -9,18 +9,21 @@
 namespace {
 
 constexpr double never = std::numeric_limits<double>::infinity();
-constexpr double demand_headroom = 1.15;        // of demand, met by borrowing: arrivals vary
-constexpr double min_headroom_rate = 1;         // below this demand nothing is added to it
-constexpr double demand_window_ms = 300;        // over which demand is averaged
-constexpr double min_grant_share = 0.01;        // of the own rate: less is not worth a datagram
-constexpr std::size_t max_counterparties = 64;  // borrowers, and lenders, of one limit at a time
+constexpr double demand_headroom_ratio = 1.15;  // wanted rate over demand, for the variance of arrivals
+constexpr double min_headroom_rate = 1;         // requests a second; a lower demand gets no headroom
+constexpr double demand_window_ms = 300;        // time constant of the demand average
+constexpr double min_grant_share = 0.01;        // of the own rate; smaller grants are not worth a datagram
+constexpr std::size_t max_counterparties = 64;  // borrowers of one limit, and as many lenders
 constexpr double min_retry_after_ms = 20;
-constexpr double tolerance = 1e-6;  // of the invariants, for sums of doubles
+constexpr double tolerance = 1e-6;  // requests, or requests a second: rounding of sums in the invariants
 
 }  // namespace
 
-LimitQuota::LimitQuota(const Limit& limit, const LimitTerms& terms, double owned_from, double now_ms)
-    : lease_ms_(terms.lease_ms), owned_from_(owned_from), refilled_at_ms_(now_ms), demand_at_ms_(now_ms) {
+LimitQuota::LimitQuota(const Limit& limit, const LimitTerms& terms, double owned_from_ms, double now_ms)
+    : lease_ms_(terms.lease_ms),
+      owned_from_ms_(owned_from_ms),
+      refilled_at_ms_(now_ms),
+      demand_at_ms_(now_ms) {
   update(limit, terms, now_ms);
 }
 
@@ -28,37 +31,38 @@
   refill(now_ms);
   share_rate_ = limit.rate * terms.share;
   fixed_capacity_ = fixed_burst_share * limit.burst / terms.instances;
-  capacity_s_ = limit.rate > 0 ? (1 - fixed_burst_share) * limit.burst / limit.rate : 0;
+  capacity_per_rate_ = limit.rate > 0 ? (1 - fixed_burst_share) * limit.burst / limit.rate : 0;
   lease_ms_ = terms.lease_ms;
   tokens_ = std::min(tokens_, capacity(now_ms));
 }
 
-void LimitQuota::set_owned_from(double owned_from, double now_ms) {
+void LimitQuota::set_owned_from(double owned_from_ms, double now_ms) {
   refill(now_ms);
-  owned_from_ = owned_from;
+  owned_from_ms_ = owned_from_ms;
   tokens_ = std::min(tokens_, capacity(now_ms));
 }
 
 // --- Leases ---------------------------------------------------------------------------------------------
 
 double LimitQuota::leased_rate(const Counterparty& counterparty, double at_ms) {
-  double most = 0;
+  double max_rate = 0;
   for (const auto& lease : counterparty.leases)
-    if (lease.expires_at_ms > at_ms) most = std::max(most, lease.rate);
-  return most;
+    if (lease.expires_at_ms > at_ms) max_rate = std::max(max_rate, lease.rate);
+  return max_rate;
 }
 
-// A lease that another outlasts at no lower rate is dropped. So there are few, however often they are
-// renewed.
+// Drops each dominated lease (another one runs as long at no lower rate), which keeps the list short however
+// often leases are renewed.
 void LimitQuota::add_lease(Counterparty& counterparty, const Lease& lease, double now_ms) {
   std::erase_if(counterparty.leases, [&](const Lease& other) {
     return other.expires_at_ms <= now_ms ||
            (other.expires_at_ms <= lease.expires_at_ms && other.rate <= lease.rate);
   });
-  bool outdone = std::any_of(counterparty.leases.begin(), counterparty.leases.end(), [&](const Lease& other) {
-    return other.expires_at_ms >= lease.expires_at_ms && other.rate >= lease.rate;
-  });
-  if (!outdone) counterparty.leases.push_back(lease);
+  bool is_dominated =
+      std::any_of(counterparty.leases.begin(), counterparty.leases.end(), [&](const Lease& other) {
+        return other.expires_at_ms >= lease.expires_at_ms && other.rate >= lease.rate;
+      });
+  if (!is_dominated) counterparty.leases.push_back(lease);
 }
 
 void LimitQuota::drop_expired(std::vector<Counterparty>& counterparties, double now_ms, double kept_ms) {
@@ -67,8 +71,8 @@
   });
 }
 
-// Of each borrower's incarnation the most that has not expired: which grants have reached it is not known
-// here.
+// Counts the highest unexpired grant of each borrower incarnation: the lender can't know which of its grants
+// arrived.
 double LimitQuota::lent(double now_ms) const {
   double sum = 0;
   for (const auto& counterparty : borrowers_) sum += leased_rate(counterparty, now_ms);
@@ -88,13 +92,13 @@
 }
 
 double LimitQuota::own_rate(double now_ms) const {
-  return now_ms < owned_from_ ? 0 : std::max(0.0, share_rate_ - lent(now_ms));
+  return now_ms < owned_from_ms_ ? 0 : std::max(0.0, share_rate_ - lent(now_ms));
 }
 
 double LimitQuota::available_rate(double now_ms) const { return own_rate(now_ms) + borrowed(now_ms); }
 
 double LimitQuota::lendable(double now_ms) const {
-  if (now_ms < owned_from_) return 0;
+  if (now_ms < owned_from_ms_) return 0;
   double kept = std::max(reserved_share * share_rate_, std::min(share_rate_, wanted_rate(now_ms)));
   return std::max(0.0, share_rate_ - kept);
 }
@@ -103,8 +107,8 @@
   return std::max(0.0, wanted_rate(now_ms) - own_rate(now_ms));
 }
 
-// The borrower of that name and incarnation; null where there are too many. Incarnations are counted apart: a
-// process that was taken for dead may run on beside its successor.
+// Finds or adds the borrower; null when there are too many. Incarnations are counted separately, since a
+// process that was declared dead may still run beside its successor.
 LimitQuota::Counterparty* LimitQuota::borrower(PeerIndex peer, std::uint64_t incarnation) {
   auto it = std::find_if(borrowers_.begin(), borrowers_.end(), [&](const Counterparty& counterparty) {
     return counterparty.peer == peer && counterparty.incarnation == incarnation;
@@ -114,7 +118,7 @@
   return &borrowers_.emplace_back(Counterparty{.peer = peer, .incarnation = incarnation});
 }
 
-// Those that asked of late share evenly in what is lendable, as far as each wants it.
+// The max-min fair rate for each borrower that asked within the last lease.
 double LimitQuota::fair_share(double now_ms) const {
   std::vector<double> wanted;
   for (const auto& counterparty : borrowers_)
@@ -133,7 +137,7 @@
 
 double LimitQuota::grant(PeerIndex peer, std::uint64_t incarnation, double wanted, double now_ms) {
   refill(now_ms);
-  if (now_ms < owned_from_ || share_rate_ <= 0) return 0;
+  if (now_ms < owned_from_ms_ || share_rate_ <= 0) return 0;
   auto* counterparty = borrower(peer, incarnation);
   if (!counterparty) return 0;
   counterparty->wanted = wanted;
@@ -141,23 +145,24 @@
   double lent_to_others = lent(now_ms) - leased_rate(*counterparty, now_ms);
   double rate = std::min({wanted, fair_share(now_ms), share_rate_ - lent_to_others});
   if (rate < min_grant_share * share_rate_) return 0;
-  add_lease(*counterparty, {.rate = rate, .expires_at_ms = now_ms + lease_ms_ * (1 + lease_drift)}, now_ms);
+  add_lease(*counterparty, {.rate = rate, .expires_at_ms = now_ms + lease_ms_ * (1 + lease_drift_ratio)},
+            now_ms);
   return rate;
 }
 
-// The entry for a lender. With too many of them the least gives way to a greater one, and what it lent goes
-// unused, which is safe; 64 small lenders used to keep out the great ones. Null where this one is the least.
+// Finds or adds the lender; null when the table is full of larger leases. Evicts the smallest lease first, so
+// that many small lenders can't crowd out a large one; an evicted lease stays unused, which is safe.
 LimitQuota::Counterparty* LimitQuota::lender(PeerIndex peer, double rate, double now_ms) {
   auto it = std::find_if(lenders_.begin(), lenders_.end(),
                          [&](const Counterparty& counterparty) { return counterparty.peer == peer; });
   if (it != lenders_.end()) return &*it;
   if (lenders_.size() >= max_counterparties) {
-    auto least =
+    auto smallest =
         std::min_element(lenders_.begin(), lenders_.end(), [&](const Counterparty& a, const Counterparty& b) {
           return leased_rate(a, now_ms) < leased_rate(b, now_ms);
         });
-    if (leased_rate(*least, now_ms) >= rate) return nullptr;
-    lenders_.erase(least);
+    if (leased_rate(*smallest, now_ms) >= rate) return nullptr;
+    lenders_.erase(smallest);
   }
   return &lenders_.emplace_back(Counterparty{.peer = peer});
 }
@@ -178,37 +183,37 @@
 // --- The token bucket -----------------------------------------------------------------------------------
 
 double LimitQuota::capacity(double now_ms) const {
-  return fixed_capacity_ + capacity_s_ * available_rate(now_ms);
+  return fixed_capacity_ + capacity_per_rate_ * available_rate(now_ms);
 }
 
-// Where several leases overlap, each stretch of time counts with the greatest that holds to its end.
-void LimitQuota::add_gain(const Counterparty& lender, double now_ms, double& gained) const {
+// Where leases overlap, each interval counts with the highest rate that holds until its end.
+void LimitQuota::add_gain(const Counterparty& lender, double now_ms, double& gained_millitokens) const {
   auto leases = lender.leases;
   std::sort(leases.begin(), leases.end(),
             [](const Lease& a, const Lease& b) { return a.expires_at_ms < b.expires_at_ms; });
-  double since = refilled_at_ms_;
+  double since_ms = refilled_at_ms_;
   for (const auto& lease : leases) {
-    double until = std::min(now_ms, lease.expires_at_ms);
-    if (until <= since) continue;
-    gained += leased_rate(lender, std::nextafter(until, 0.0)) * (until - since);
-    since = until;
+    double until_ms = std::min(now_ms, lease.expires_at_ms);
+    if (until_ms <= since_ms) continue;
+    gained_millitokens += leased_rate(lender, std::nextafter(until_ms, 0.0)) * (until_ms - since_ms);
+    since_ms = until_ms;
   }
 }
 
-// What was lent counts as lent for the whole time since the last refill, what was borrowed only until it
-// expired.
+// Errs towards fewer tokens: a lent rate counts as lent since the last refill, a borrowed one until its
+// lease expired.
 void LimitQuota::refill(double now_ms) {
   if (now_ms <= refilled_at_ms_) return;
-  double gained = 0;
-  if (now_ms > owned_from_) {
+  double gained_millitokens = 0;
+  if (now_ms > owned_from_ms_) {
     double own = std::max(0.0, share_rate_ - lent(refilled_at_ms_));
-    gained += own * (now_ms - std::max(refilled_at_ms_, owned_from_));
+    gained_millitokens += own * (now_ms - std::max(refilled_at_ms_, owned_from_ms_));
   }
-  for (const auto& lender : lenders_) add_gain(lender, now_ms, gained);
+  for (const auto& lender : lenders_) add_gain(lender, now_ms, gained_millitokens);
   refilled_at_ms_ = now_ms;
   drop_expired(borrowers_, now_ms, lease_ms_);
   drop_expired(lenders_, now_ms, 0);
-  tokens_ = std::min(tokens_ + gained / 1000, capacity(now_ms));
+  tokens_ = std::min(tokens_ + gained_millitokens / 1000, capacity(now_ms));
 }
 
 double LimitQuota::tokens(double now_ms) {
@@ -221,16 +226,17 @@
   tokens_ = std::min(tokens_ + 1, capacity(now_ms));
 }
 
-// One token is promised after the other. With none to come: when the own share begins, or after a lease.
+// Each rejected request gets the time of the next unpromised token. With no rate available that is the end of
+// the quarantine, or one lease from now.
 double LimitQuota::retry_after_ms(double now_ms) {
   refill(now_ms);
   double rate_per_ms = available_rate(now_ms) / 1000;
-  double first = now_ms + lease_ms_;
+  double first_token_at_ms = now_ms + lease_ms_;
   if (rate_per_ms > 0)
-    first = now_ms + (1 - tokens_) / rate_per_ms;
-  else if (owned_from_ > now_ms && owned_from_ < never)
-    first = owned_from_;
-  promised_at_ms_ = std::max(first, promised_at_ms_ + (rate_per_ms > 0 ? 1 / rate_per_ms : 0));
+    first_token_at_ms = now_ms + (1 - tokens_) / rate_per_ms;
+  else if (owned_from_ms_ > now_ms && owned_from_ms_ < never)
+    first_token_at_ms = owned_from_ms_;
+  promised_at_ms_ = std::max(first_token_at_ms, promised_at_ms_ + (rate_per_ms > 0 ? 1 / rate_per_ms : 0));
   promised_at_ms_ = std::min(promised_at_ms_, now_ms + max_retry_after_ms);
   return std::max(min_retry_after_ms, promised_at_ms_ - now_ms);
 }
@@ -248,33 +254,44 @@
 
 double LimitQuota::wanted_rate(double now_ms) const {
   double rate = demand(now_ms);
-  return rate < min_headroom_rate ? rate : rate * demand_headroom + min_headroom_rate;
+  return rate < min_headroom_rate ? rate : rate * demand_headroom_ratio + min_headroom_rate;
 }
 
-std::string LimitQuota::broken_invariant(const std::vector<Counterparty>& counterparties) {
-  if (counterparties.size() > max_counterparties) return "too many counterparties";
+std::optional<BrokenInvariant> LimitQuota::broken_invariant(const std::vector<Counterparty>& counterparties) {
+  if (counterparties.size() > max_counterparties)
+    return BrokenInvariant{.invariant = Invariant::counterparties_bounded,
+                           .value = static_cast<double>(counterparties.size()),
+                           .bound = static_cast<double>(max_counterparties)};
   for (const auto& counterparty : counterparties) {
     for (const auto& a : counterparty.leases)
       for (const auto& b : counterparty.leases)
         if (&a != &b && a.rate <= b.rate && a.expires_at_ms <= b.expires_at_ms)
-          return "a lease is kept that another outlasts";
+          return BrokenInvariant{
+              .invariant = Invariant::leases_not_dominated, .value = a.rate, .bound = b.rate};
     auto same = [&](const Counterparty& other) {
       return other.peer == counterparty.peer && other.incarnation == counterparty.incarnation;
     };
-    if (counterparty.peer && std::count_if(counterparties.begin(), counterparties.end(), same) != 1)
-      return "a counterparty is there twice";
+    auto same_count = std::count_if(counterparties.begin(), counterparties.end(), same);
+    if (counterparty.peer && same_count != 1)
+      return BrokenInvariant{.invariant = Invariant::counterparties_distinct,
+                             .value = static_cast<double>(same_count),
+                             .bound = 1};
   }
   return {};
 }
 
-std::string LimitQuota::broken_invariant(double now_ms) const {
-  if (tokens_ < -tolerance) return "the bucket is overdrawn";
-  double most = fixed_capacity_ + capacity_s_ * (share_rate_ + borrowed(refilled_at_ms_));
-  if (tokens_ > most + tolerance) return "the bucket holds more than its capacity";
-  if (now_ms < owned_from_ && own_rate(now_ms) > 0)
-    return "the own share is used while an earlier one may be lent";
+std::optional<BrokenInvariant> LimitQuota::broken_invariant(double now_ms) const {
+  if (tokens_ < -tolerance)
+    return BrokenInvariant{.invariant = Invariant::bucket_not_overdrawn, .value = tokens_, .bound = 0};
+  double max_tokens = fixed_capacity_ + capacity_per_rate_ * (share_rate_ + borrowed(refilled_at_ms_));
+  if (tokens_ > max_tokens + tolerance)
+    return BrokenInvariant{
+        .invariant = Invariant::bucket_within_capacity, .value = tokens_, .bound = max_tokens};
+  if (now_ms < owned_from_ms_ && own_rate(now_ms) > 0)
+    return BrokenInvariant{
+        .invariant = Invariant::quarantined_share_unused, .value = own_rate(now_ms), .bound = 0};
   auto broken = broken_invariant(borrowers_);
-  return broken.empty() ? broken_invariant(lenders_) : broken;
+  return broken ? broken : broken_invariant(lenders_);
 }
 
 }  // namespace meadowgauge::fleet
--- a/src/fleet/limit_quota.hpp
+++ b/src/fleet/limit_quota.hpp
@@ -1,13 +1,12 @@
-// One fleet-wide limit at one instance: its own share, the leases it has granted and holds, and the token
-// bucket that requests are admitted from. Values without I/O; times are ms by this instance's clock, rates
-// requests a second. The bound and its proof: docs/design/fleet-quotas.md.
+// One fleet-wide limit at one instance: its share, its leases and its token bucket. Values without I/O; times
+// are ms by this instance's clock, rates requests a second.
 #pragma once
 
 #include <cstdint>
 #include <optional>
-#include <string>
 #include <vector>
 
+#include "fleet/broken_invariant.hpp"
 #include "fleet/limit.hpp"
 #include "membership/peer.hpp"
 
@@ -15,68 +14,79 @@
 
 using membership::PeerIndex;
 
+// Admits requests from a token bucket whose fill rate this instance owns or has leased.
+//
+// Each instance owns a fixed share of the limit's rate. It lends what it does not need, as leases: a borrower
+// uses a lease for `lease_ms` from its request, the lender counts it for `lease_ms * (1 + lease_drift_ratio)`
+// from its grant, so the borrower always stops first. No instance lends what it has borrowed.
+//
+//   available rate    own share - lent + borrowed
+//   bucket capacity   f * burst / n + (1 - f) * burst * available rate / rate      f = fixed_burst_share
+//
+// The available rates of all instances add up to at most `rate`, so over any window of W ms the fleet admits
+// at most rate * W + burst, through partitions, restarts and pauses. Proof: docs/design/fleet-quotas.md.
 class LimitQuota {
  public:
   static constexpr double max_retry_after_ms = 5000;
 
-  // `owned_from`: until then leases of an earlier incarnation of this instance may run, and its own share is
+  // Before `owned_from_ms` leases of an earlier incarnation of this instance may run, so its own share is
   // neither used nor lent. Infinite: not known yet.
-  LimitQuota(const Limit& limit, const LimitTerms& terms, double owned_from, double now_ms);
+  LimitQuota(const Limit& limit, const LimitTerms& terms, double owned_from_ms, double now_ms);
 
-  // The limit and the share in force from now on. A share lower than what is lent is made up for as leases
-  // expire.
+  // Sets the limit and the share in force. Where the new share is below the lent rate, the own rate is 0
+  // until leases expire.
   void update(const Limit& limit, const LimitTerms& terms, double now_ms);
-  // As the constructor's.
-  void set_owned_from(double owned_from, double now_ms);
+  void set_owned_from(double owned_from_ms, double now_ms);
 
-  // What may be admitted here now: the own share less what is lent, and what is borrowed.
+  // The rate at which the bucket fills: the own share, less the lent rate, plus the borrowed rate.
   [[nodiscard]] double available_rate(double now_ms) const;
-  // Whole and part requests that may be admitted at once.
+  // Requests that may be admitted at once, with the fraction of the next one.
   double tokens(double now_ms);
-  // A request has come that this limit counts, admitted or not.
+  // Counts a request that this limit applies to, admitted or not.
   void record_demand(double now_ms);
-  // Admits one. The caller has seen that there is a token.
+  // Admits one request. The caller has checked that tokens() is at least 1.
   void take_token() { tokens_ -= 1; }
-  // Takes back what take_token() took for a request that was not admitted after all.
+  // Reverses take_token() for a request that another check has rejected.
   void return_token(double now_ms);
-  // How long until there is a token for a request that is rejected now, after those rejected before it.
+  // Time until a token is free for a request rejected now, behind all requests rejected before it.
   double retry_after_ms(double now_ms);
 
-  // What this instance would lend, and what it would borrow.
+  // The rates that this instance offers to lend, and needs to borrow.
   [[nodiscard]] double lendable(double now_ms) const;
   [[nodiscard]] double shortfall(double now_ms) const;
-  // Lends up to `wanted` to `peer` and returns what it lends. Counted as lent for a lease and its drift.
+  // Lends up to `wanted` to `peer`. Returns the rate lent, which counts as lent for a lease and its drift.
   double grant(PeerIndex peer, std::uint64_t incarnation, double wanted, double now_ms);
-  // Takes a lease that `peer` has granted.
+  // Adds a lease that `peer` has granted.
   void accept(PeerIndex peer, double rate, double expires_at_ms, double now_ms);
-  // What is borrowed of `lender` and still is at the time `at`.
+  // The rate borrowed from `lender` by leases that run beyond `at_ms`.
   [[nodiscard]] double borrowed_from(PeerIndex lender, double at_ms) const;
-  // The index is free to serve another peer. Leases with the one that had it run to their end.
+  // Releases the index for another peer. Leases with the previous peer still run until they expire.
   void forget(PeerIndex peer);
 
-  // Requests a second: the average that record_demand() has seen, what is lent, and what is borrowed.
+  // Moving average of the rate that record_demand() counts; sums of the running leases.
   [[nodiscard]] double demand(double now_ms) const;
   [[nodiscard]] double lent(double now_ms) const;
   [[nodiscard]] double borrowed(double now_ms) const;
 
-  // Empty where all invariants hold, otherwise what is broken. For tests, after every step.
-  [[nodiscard]] std::string broken_invariant(double now_ms) const;
+  // The first invariant that does not hold. For tests, after every step.
+  [[nodiscard]] std::optional<BrokenInvariant> broken_invariant(double now_ms) const;
 
  private:
   struct Lease {
     double rate = 0;
     double expires_at_ms = 0;
   };
-  // An incarnation that borrows, or a lender.
+  // One incarnation of a borrower, or a lender.
   struct Counterparty {
-    std::optional<PeerIndex> peer{};  // none once its index was given up
-    std::uint64_t incarnation = 0;    // of a borrower
-    std::vector<Lease> leases{};      // none that another outlasts at no lower rate
-    double wanted = 0;                // by a borrower, when it last asked
-    double wanted_at_ms = 0;
+    std::optional<PeerIndex> peer{};  // none after forget()
+    std::uint64_t incarnation = 0;    // of a borrower; 0 for a lender
+    std::vector<Lease> leases{};      // none is dominated: later ones have a lower rate
+    double wanted = 0;                // rate in the borrower's last request
+    double wanted_at_ms = 0;          // time of that request
   };
   [[nodiscard]] static double leased_rate(const Counterparty& counterparty, double at_ms);
-  [[nodiscard]] static std::string broken_invariant(const std::vector<Counterparty>& counterparties);
+  [[nodiscard]] static std::optional<BrokenInvariant> broken_invariant(
+      const std::vector<Counterparty>& counterparties);
   static void add_lease(Counterparty& counterparty, const Lease& lease, double now_ms);
   static void drop_expired(std::vector<Counterparty>& counterparties, double now_ms, double kept_ms);
   [[nodiscard]] double own_rate(double now_ms) const;
@@ -84,21 +94,21 @@
   [[nodiscard]] double capacity(double now_ms) const;
   [[nodiscard]] double fair_share(double now_ms) const;
   // Adds what the leases of a lender have gained since the last refill, in thousandths of a token.
-  void add_gain(const Counterparty& lender, double now_ms, double& gained) const;
+  void add_gain(const Counterparty& lender, double now_ms, double& gained_millitokens) const;
   Counterparty* borrower(PeerIndex peer, std::uint64_t incarnation);
   Counterparty* lender(PeerIndex peer, double rate, double now_ms);
   void refill(double now_ms);
 
-  double share_rate_ = 0;      // the own share
-  double fixed_capacity_ = 0;  // of the bucket
-  double capacity_s_ = 0;      // the rest of its capacity, for each request a second that is available
+  double share_rate_ = 0;         // the own share
+  double fixed_capacity_ = 0;     // tokens
+  double capacity_per_rate_ = 0;  // tokens of further capacity, for each request a second of available rate
   double lease_ms_;
-  double owned_from_;
+  double owned_from_ms_;
   double refilled_at_ms_;
   double tokens_ = 0;
-  double demand_ = 0;  // decaying average, as of demand_at_
+  double demand_ = 0;  // decaying average, as of demand_at_ms_
   double demand_at_ms_;
-  double promised_at_ms_ = 0;  // the latest time that a rejected request was told to retry at
+  double promised_at_ms_ = 0;  // latest retry time returned to a rejected request
   std::vector<Counterparty> borrowers_;
   std::vector<Counterparty> lenders_;
 };
--- a/src/fleet/outlier_verdicts.cpp
+++ b/src/fleet/outlier_verdicts.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-constexpr double onset_ms = 300;  // failures have begun so long before the policy suspects a server
-// After the newest failure: what was sent before it has been answered by then, or never is.
+constexpr double onset_ms = 300;  // from the first failure until the policy suspects the server
+// A success this much later than the newest failure answers an attempt that was sent after the failure.
 constexpr double recovery_margin_ms = 500;
-constexpr double recent_ms = 5000;         // of the servers that unhealthy_share() counts
-constexpr double max_accuser_share = 0.5;  // from there on an origin's own links are what is bad
-constexpr double forgotten_ms = 2 * OutlierVerdicts::verdict_ms;
-constexpr std::size_t max_sightings = membership::max_observations * 8;  // of another origin
+constexpr double recent_ms = 5000;         // age up to which unhealthy_share() counts a sighting
+constexpr double max_accuser_share = 0.5;  // failing share from which an origin's own links are at fault
+constexpr double sighting_retention_ms = 2 * OutlierVerdicts::verdict_ms;
+constexpr std::size_t max_sightings = membership::max_observations * 8;  // per origin, except this instance
 
-constexpr double infinity = std::numeric_limits<double>::infinity();
+constexpr double never_ms = std::numeric_limits<double>::infinity();
 
 }  // namespace
 
-// --- What instances have seen ---------------------------------------------------------------------------
+// --- Observations ---------------------------------------------------------------------------------------
 
 void OutlierVerdicts::record_success(ServerId server, double now_ms) {
   auto& own = origins_[self_].sightings;
@@ -29,19 +29,19 @@
     own[server] = {.failing = false, .seen_at_ms = now_ms};
 }
 
-// A server that is silent was seen failing when it was first suspected, one that is ejected when that began.
+// A suspect's failing sighting keeps the time of the first report, since the policy stops sending to it.
 bool OutlierVerdicts::record_suspects(const std::vector<ServerId>& servers, double now_ms) {
-  std::erase_if(suspect_since_, [&](const auto& suspect) {
+  std::erase_if(suspect_since_ms_, [&](const auto& suspect) {
     return std::find(servers.begin(), servers.end(), suspect.first) == servers.end();
   });
   bool any_new = false;
   auto& own = origins_[self_].sightings;
   for (auto server : servers) {
-    bool is_new = suspect_since_.try_emplace(server, now_ms).second;
+    bool is_new = suspect_since_ms_.try_emplace(server, now_ms).second;
     bool is_kept = own.size() < max_servers || own.contains(server);
     if (!is_new || !is_kept) continue;
     any_new = true;
-    own[server] = {.failing = true, .seen_at_ms = now_ms, .failing_since = now_ms - onset_ms};
+    own[server] = {.failing = true, .seen_at_ms = now_ms, .failing_since_ms = now_ms - onset_ms};
   }
   return any_new;
 }
@@ -70,7 +70,7 @@
     all.push_back({.server = server,
                    .failing = sighting.failing,
                    .age_ms = now_ms - sighting.seen_at_ms,
-                   .failing_for_ms = sighting.failing ? now_ms - sighting.failing_since : 0});
+                   .failing_for_ms = sighting.failing ? now_ms - sighting.failing_since_ms : 0});
   }
   std::sort(all.begin(), all.end(), [](const ServerObservation& a, const ServerObservation& b) {
     if (a.failing != b.failing) return a.failing;
@@ -80,7 +80,7 @@
   return all;
 }
 
-// Of each origin and server the newest sighting alone counts, whenever it comes and however often.
+// Keeps the newest sighting of each origin and server, so that order and repetition change nothing.
 bool OutlierVerdicts::merge(const std::string& origin, const std::vector<ServerObservation>& observations,
                             double unhealthy_share, double made_at_ms) {
   bool is_known = origins_.contains(origin);
@@ -99,7 +99,7 @@
     newly_failing = newly_failing || (observation.failing && (is_first || !sighting.failing));
     sighting = {.failing = observation.failing,
                 .seen_at_ms = seen_at_ms,
-                .failing_since = made_at_ms - observation.failing_for_ms};
+                .failing_since_ms = made_at_ms - observation.failing_for_ms};
     if (known.sightings.size() > max_sightings) known.sightings.erase(known.sightings.begin());
   }
   return newly_failing;
@@ -108,8 +108,9 @@
 void OutlierVerdicts::expire(const std::vector<std::string>& known, double now_ms) {
   for (auto it = origins_.begin(); it != origins_.end();) {
     auto& [name, origin] = *it;
-    std::erase_if(origin.sightings,
-                  [&](const auto& sighting) { return now_ms - sighting.second.seen_at_ms > forgotten_ms; });
+    std::erase_if(origin.sightings, [&](const auto& sighting) {
+      return now_ms - sighting.second.seen_at_ms > sighting_retention_ms;
+    });
     bool is_listed = std::binary_search(known.begin(), known.end(), name);
     bool drops = name != self_ && (origin.sightings.empty() || !is_listed);
     it = drops ? origins_.erase(it) : std::next(it);
@@ -118,7 +119,7 @@
 
 // --- The verdict ----------------------------------------------------------------------------------------
 
-// Few, however many servers and origins there are: only these are assessed one by one.
+// The servers with a current accuser. Only these are assessed, which keeps the cost independent of the fleet.
 std::set<ServerId> OutlierVerdicts::accused(double now_ms) const {
   std::set<ServerId> servers;
   for (const auto& [name, origin] : origins_)
@@ -127,7 +128,7 @@
   return servers;
 }
 
-// An origin that finds most servers failing has bad links of its own, and accuses none.
+// An origin that finds at least half of its servers failing has bad links of its own and accuses nobody.
 bool OutlierVerdicts::accuses(const std::string& name, const Origin& origin, ServerId server,
                               double now_ms) const {
   auto it = origin.sightings.find(server);
@@ -136,8 +137,8 @@
   return (name == self_ ? unhealthy_share(now_ms) : origin.unhealthy_share) < max_accuser_share;
 }
 
-// The accuser that saw it longest ago goes first, as its own policy's ejection is over; every other trial
-// interval without news one more may try.
+// The accuser with the oldest sighting goes first: its policy's own ejection ends first. Without a newer
+// failure one more accuser may try after every second trial interval.
 bool OutlierVerdicts::is_our_trial(const Assessment& assessment, const std::vector<std::string>& alive,
                                    double now_ms) const {
   struct Tester {
@@ -157,28 +158,29 @@
   });
   for (std::size_t i = 0; i < testers.size(); ++i) {
     double turn_after_ms = trial_interval_ms * static_cast<double>(2 * i + 1);
-    if (testers[i].is_self && now_ms - assessment.last_failure >= turn_after_ms) return true;
+    if (testers[i].is_self && now_ms - assessment.last_failure_ms >= turn_after_ms) return true;
   }
   return false;
 }
 
 OutlierVerdicts::Assessment OutlierVerdicts::assess(ServerId server, const std::vector<std::string>& alive,
                                                     double now_ms) const {
-  Assessment result{.server = server, .failing_since = infinity, .last_failure = -infinity};
+  Assessment result{.server = server, .failing_since_ms = never_ms, .last_failure_ms = -never_ms};
   for (const auto& [name, origin] : origins_) {
     if (!accuses(name, origin, server, now_ms)) continue;
     const auto& sighting = origin.sightings.at(server);
     ++result.accusers;
-    result.failing_since = std::min(result.failing_since, sighting.failing_since);
-    result.last_failure = std::max(result.last_failure, sighting.seen_at_ms);
+    result.failing_since_ms = std::min(result.failing_since_ms, sighting.failing_since_ms);
+    result.last_failure_ms = std::max(result.last_failure_ms, sighting.seen_at_ms);
   }
   for (const auto& [name, origin] : origins_) {
     auto it = origin.sightings.find(server);
     if (it == origin.sightings.end() || it->second.failing) continue;
-    if (it->second.seen_at_ms <= result.failing_since) continue;
+    if (it->second.seen_at_ms <= result.failing_since_ms) continue;
     ++result.defenders;
     result.served_us = result.served_us || name == self_;
-    result.recovered = result.recovered || it->second.seen_at_ms > result.last_failure + recovery_margin_ms;
+    result.recovered =
+        result.recovered || it->second.seen_at_ms > result.last_failure_ms + recovery_margin_ms;
   }
   result.our_trial = is_our_trial(result, alive, now_ms);
   return result;
@@ -196,27 +198,42 @@
   std::sort(outliers.begin(), outliers.end(), [](const Assessment& a, const Assessment& b) {
     return a.accusers != b.accusers ? a.accusers > b.accusers : a.server < b.server;
   });
-  auto most = static_cast<std::size_t>(max_ejected_share * static_cast<double>(listed.size()));
-  if (outliers.size() > most) outliers.resize(most);
+  auto max_ejected = static_cast<std::size_t>(max_ejected_share * static_cast<double>(listed.size()));
+  if (outliers.size() > max_ejected) outliers.resize(max_ejected);
   std::vector<ServerId> servers;
   for (const auto& outlier : outliers)
     if (!outlier.our_trial) servers.push_back(outlier.server);
   return servers;
 }
 
-std::string OutlierVerdicts::broken_invariant() const {
-  if (origins_.size() > max_origins + 1) return "too many origins";
+std::optional<BrokenInvariant> OutlierVerdicts::broken_invariant() const {
+  if (origins_.size() > max_origins + 1)
+    return BrokenInvariant{.invariant = Invariant::origins_bounded,
+                           .value = static_cast<double>(origins_.size()),
+                           .bound = static_cast<double>(max_origins + 1)};
   for (const auto& [name, origin] : origins_) {
-    auto most = name == self_ ? max_servers : max_sightings;
-    if (origin.sightings.size() > most) return "too many sightings of " + name;
-    if (name == self_ && origin.unhealthy_share != 0) return "an own share that was received";
+    auto max_size = name == self_ ? max_servers : max_sightings;
+    if (origin.sightings.size() > max_size)
+      return BrokenInvariant{.invariant = Invariant::sightings_bounded,
+                             .value = static_cast<double>(origin.sightings.size()),
+                             .bound = static_cast<double>(max_size),
+                             .subject = name};
+    if (name == self_ && origin.unhealthy_share != 0)
+      return BrokenInvariant{
+          .invariant = Invariant::own_share_not_received, .value = origin.unhealthy_share, .subject = name};
   }
   auto own = origins_.find(self_);
-  for (const auto& [server, since] : suspect_since_) {
-    if (own == origins_.end()) return "a suspect without an own origin";
+  for (const auto& [server, since_ms] : suspect_since_ms_) {
+    if (own == origins_.end())
+      return BrokenInvariant{.invariant = Invariant::suspects_need_own_origin,
+                             .value = static_cast<double>(suspect_since_ms_.size()),
+                             .subject = std::to_string(server)};
     auto it = own->second.sightings.find(server);
-    if (it != own->second.sightings.end() && it->second.failing && it->second.seen_at_ms < since)
-      return "a suspect was seen failing before it was suspected";
+    if (it != own->second.sightings.end() && it->second.failing && it->second.seen_at_ms < since_ms)
+      return BrokenInvariant{.invariant = Invariant::suspects_seen_after_onset,
+                             .value = it->second.seen_at_ms,
+                             .bound = since_ms,
+                             .subject = std::to_string(server)};
   }
   return {};
 }
--- a/src/fleet/outlier_verdicts.hpp
+++ b/src/fleet/outlier_verdicts.hpp
@@ -1,78 +1,93 @@
-// Which servers the whole fleet ejects, from what its instances have seen themselves. Values without I/O;
-// times are ms by this instance's clock. docs/design/fleet-verdicts.md has the rule and the bound on age.
+// Which servers the instances of a fleet eject together. Values without I/O; times are ms by this instance's
+// clock.
 #pragma once
 
 #include <cstdint>
 #include <map>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
 
+#include "fleet/broken_invariant.hpp"
 #include "membership/datagram.hpp"
 
 namespace meadowgauge::fleet {
 
 using ServerId = std::uint32_t;  // the same number at every instance
 
+// Ejects servers by first-hand observations of all instances.
+//
+// Each instance (origin) reports the servers that its own policy finds failing, and those that have served
+// it. Only the newest observation of an origin and server counts, until it is `verdict_ms` old, so repetition
+// and order of datagrams change nothing. A verdict is never reported itself. A server is ejected where
+//
+//   accusers >= min_accusers    and    accusers >= 2 * defenders
+//
+// accusers   origins that find the server failing, and fewer than half of the servers they see
+// defenders  origins that the server has served since the earliest of the failures began
+//
+// and it has served neither this instance since then nor anybody after the newest failure. The share of
+// ejected servers is bounded. One accuser at a time may try an ejected server; its success lifts the verdict.
+// Rule and bound on age: docs/design/fleet-verdicts.md.
 class OutlierVerdicts {
  public:
-  static constexpr double verdict_ms = 10000;        // an observation counts for so long
+  static constexpr double verdict_ms = 10000;        // age at which an observation expires
   static constexpr double trial_interval_ms = 1000;  // between two trials of an ejected server
-  static constexpr double max_ejected_share = 0.3;   // of the listed servers
-  static constexpr int min_accusers = 2;             // the fewest that one bad link can't make
+  static constexpr double max_ejected_share = 0.3;   // of the listed servers, 0 to 1
+  static constexpr int min_accusers = 2;             // one bad link makes one accuser only
   static constexpr std::size_t max_origins = 2048;
-  static constexpr std::size_t max_servers = 2048;  // that this instance remembers
+  static constexpr std::size_t max_servers = 2048;  // own sightings
 
-  // `self`: this instance's name.
+  // `self` is this instance's name.
   explicit OutlierVerdicts(std::string self) : self_(std::move(self)) {}
 
-  // This instance had an attempt succeed at `server`.
+  // An attempt of this instance has succeeded at `server`.
   void record_success(ServerId server, double now_ms);
-  // The servers that this instance's own policy ejects or finds silent now. True: one is new among them.
+  // Takes the servers that this instance's policy ejects or finds unresponsive. True: one of them is new.
   bool record_suspects(const std::vector<ServerId>& servers, double now_ms);
 
-  // What to report: failing servers first, then good ones that somebody calls failing; the latest seen first.
+  // The observations to report: failing servers, then servers that others accuse; the newest first.
   [[nodiscard]] std::vector<membership::ServerObservation> observations(double now_ms) const;
-  // The share that is failing of the servers that this instance has seen lately, 0 to 1.
+  // The failing share of the servers that this instance has recently seen, 0 to 1.
   [[nodiscard]] double unhealthy_share(double now_ms) const;
-  // Another instance's state has come, made at `made_at`. True: it calls a server failing that it did not
-  // before.
+  // Takes the state that another instance made at `made_at_ms`. True: the origin accuses a further server.
   bool merge(const std::string& origin, const std::vector<membership::ServerObservation>& observations,
              double unhealthy_share, double made_at_ms);
 
-  // Those of the `listed` servers that this instance is not to pick now. `alive`: the names of the instances
-  // that are, sorted.
+  // Those of the `listed` servers that this instance must not pick now. `alive` holds the names of the alive
+  // instances, sorted.
   [[nodiscard]] std::vector<ServerId> ejected(const std::vector<ServerId>& listed,
                                               const std::vector<std::string>& alive, double now_ms) const;
-  // Drops what has expired, and origins that are not among `known`, which is sorted.
+  // Drops expired sightings, and origins that are not in `known`, which is sorted.
   void expire(const std::vector<std::string>& known, double now_ms);
-  // How many instances anything is known from.
+  // The number of instances with sightings.
   [[nodiscard]] std::size_t origin_count() const { return origins_.size(); }
 
-  // Empty where all invariants hold, otherwise what is broken. For tests, after every step.
-  [[nodiscard]] std::string broken_invariant() const;
+  // The first invariant that does not hold. For tests, after every step.
+  [[nodiscard]] std::optional<BrokenInvariant> broken_invariant() const;
 
  private:
-  // The latest that an origin has seen of a server.
+  // An origin's newest observation of a server.
   struct Sighting {
     bool failing = false;
     double seen_at_ms = 0;
-    double failing_since = 0;  // where it is failing: nothing good came from the server after that
+    double failing_since_ms = 0;  // of a failing server: nothing succeeded there after this time
   };
   struct Origin {
     double unhealthy_share = 0;
     std::map<ServerId, Sighting> sightings;
   };
-  // What speaks for and against a server.
+  // The evidence for and against a server.
   struct Assessment {
     ServerId server = 0;
     int accusers = 0;
-    int defenders = 0;         // that were served by it since the failures began
-    double failing_since = 0;  // by the earliest accuser
-    double last_failure = 0;   // by the latest accuser
-    bool served_us = false;    // this instance is among the defenders
-    bool recovered = false;    // served somebody for certain after the last failure
-    bool our_trial = false;    // it is this instance's turn to try it
+    int defenders = 0;            // origins served since the failures began
+    double failing_since_ms = 0;  // earliest over all accusers
+    double last_failure_ms = 0;   // newest over all accusers
+    bool served_us = false;       // this instance is one of the defenders
+    bool recovered = false;       // served an origin after the last failure, by the recovery margin
+    bool our_trial = false;       // it is this instance's turn to try the server
   };
   [[nodiscard]] std::set<ServerId> accused(double now_ms) const;
   [[nodiscard]] bool accuses(const std::string& name, const Origin& origin, ServerId server,
@@ -83,8 +98,8 @@
                                   double now_ms) const;
 
   std::string self_;
-  std::map<std::string, Origin> origins_;     // this instance among them
-  std::map<ServerId, double> suspect_since_;  // own suspects, and when each was first reported
+  std::map<std::string, Origin> origins_;        // by instance name, with this one
+  std::map<ServerId, double> suspect_since_ms_;  // own suspects, by the time of the first report
 };
 
 }  // namespace meadowgauge::fleet
--- a/src/fleet/shared_limits.cpp
+++ b/src/fleet/shared_limits.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr double never = std::numeric_limits<double>::infinity();
-constexpr double held_lender_weight = 1.5;  // of the offer of one that lends already
-// Of what is wanted: as long as that much is held for half a lease, the lender is not asked.
-constexpr double renew_below = 0.9;
+constexpr double held_offer_weight = 1.5;  // multiplies the offer of a current lender
+// A lease is not renewed while this share of the wanted rate is held for another half lease.
+constexpr double min_assured_share = 0.9;  // share of the wanted rate, 0 to 1
 
 double rate_of(const std::vector<Quota>& quotas, int limit) {
   for (const auto& quota : quotas)
@@ -20,8 +20,8 @@
   return 0;
 }
 
-// The lesser own rate and the lesser burst of two files, as a limit under the terms of the second.
-Limit lesser_of(const Limit& old_limit, const LimitTerms& old_terms, Limit limit, const LimitTerms& terms) {
+// A limit under `terms` with the lower own rate and the lower burst of two files.
+Limit lower_limit(const Limit& old_limit, const LimitTerms& old_terms, Limit limit, const LimitTerms& terms) {
   double own_rate = std::min(old_limit.rate * old_terms.share, limit.rate * terms.share);
   limit.rate = terms.share > 0 ? own_rate / terms.share : 0;
   double fixed = std::min(old_limit.burst / old_terms.instances, limit.burst / terms.instances);
@@ -36,8 +36,8 @@
       file_terms_(terms),
       tenants_(tenants),
       request_classes_(request_classes),
-      owned_from_(never),
-      agreed_since_(never) {
+      owned_from_ms_(never),
+      agreed_since_ms_(never) {
   for (const auto& limit : terms_.limits) quotas_.emplace_back(limit, terms_, never, now_ms);
   index_limits();
 }
@@ -69,49 +69,50 @@
 void SharedLimits::address_acquired(double now_ms) {
   if (ownership_ == Ownership::owning) return;
   ownership_ = Ownership::quarantined;
-  owned_from_ = now_ms + quarantine_ms();
+  owned_from_ms_ = now_ms + quarantine_ms();
 }
 
-// Limits are known by their name. One that both files have holds with the lesser of both until all agree; one
-// that is new may have been there a moment ago, and lent, and is owned after a quarantine.
+// Matches limits by name. A limit of both files holds with the lower values until all members agree. A new
+// limit is quarantined: an earlier file may have had it, with leases that still run.
 void SharedLimits::reload(const LimitTerms& terms, double now_ms) {
   file_terms_ = terms;
-  file_terms_.lease_ms = terms_.lease_ms;  // it can't change while leases of that length may run
-  agreed_since_ = never;
-  if (ownership_ == Ownership::quarantined) owned_from_ = std::max(owned_from_, now_ms + quarantine_ms());
-  LimitTerms lesser = file_terms_;
+  file_terms_.lease_ms = terms_.lease_ms;  // fixed for the process: running leases have this length
+  agreed_since_ms_ = never;
+  if (ownership_ == Ownership::quarantined)
+    owned_from_ms_ = std::max(owned_from_ms_, now_ms + quarantine_ms());
+  LimitTerms lower_terms = file_terms_;
   std::vector<LimitQuota> quotas;
-  for (auto& limit : lesser.limits) {
+  for (auto& limit : lower_terms.limits) {
     auto old = std::find_if(terms_.limits.begin(), terms_.limits.end(),
                             [&](const Limit& other) { return other.name == limit.name; });
     if (old == terms_.limits.end()) {
-      double owned_from = ownership_ == Ownership::owning ? now_ms + quarantine_ms() : never;
-      quotas.emplace_back(limit, lesser, owned_from, now_ms);
+      double owned_from_ms = ownership_ == Ownership::owning ? now_ms + quarantine_ms() : never;
+      quotas.emplace_back(limit, lower_terms, owned_from_ms, now_ms);
       continue;
     }
-    limit = lesser_of(*old, terms_, limit, terms);
+    limit = lower_limit(*old, terms_, limit, terms);
     auto& quota = quotas_[static_cast<std::size_t>(old - terms_.limits.begin())];
-    quota.update(limit, lesser, now_ms);
+    quota.update(limit, lower_terms, now_ms);
     quotas.push_back(std::move(quota));
   }
   quotas_ = std::move(quotas);
   config_state_ = ConfigState::awaiting_agreement;
-  terms_ = std::move(lesser);
+  terms_ = std::move(lower_terms);
   for (auto& offer : offers_) offer = {};
   index_limits();
 }
 
 void SharedLimits::update_agreement(const ConfigAgreement& agreement, double now_ms) {
-  // One that has just started holds back while a live member's file differs; one that runs goes on.
-  bool may_own = ownership_ == Ownership::quarantined && now_ms >= owned_from_;
+  // A live member with another file delays only an instance that has just started.
+  bool may_own = ownership_ == Ownership::quarantined && now_ms >= owned_from_ms_;
   if (may_own && !agreement.live_member_differs) {
     ownership_ = Ownership::owning;
-    for (auto& quota : quotas_) quota.set_owned_from(owned_from_, now_ms);
+    for (auto& quota : quotas_) quota.set_owned_from(owned_from_ms_, now_ms);
   }
   if (config_state_ == ConfigState::in_force) return;
-  if (!agreement.all_agree) agreed_since_ = never;
-  if (agreement.all_agree && agreed_since_ == never) agreed_since_ = now_ms;
-  if (!agreement.all_agree || now_ms - agreed_since_ < quarantine_ms()) return;
+  if (!agreement.all_agree) agreed_since_ms_ = never;
+  if (agreement.all_agree && agreed_since_ms_ == never) agreed_since_ms_ = now_ms;
+  if (!agreement.all_agree || now_ms - agreed_since_ms_ < quarantine_ms()) return;
   config_state_ = ConfigState::in_force;
   terms_ = file_terms_;
   for (std::size_t i = 0; i < quotas_.size(); ++i) quotas_[i].update(terms_.limits[i], terms_, now_ms);
@@ -119,7 +120,7 @@
 
 // --- Requests -------------------------------------------------------------------------------------------
 
-// Either a token of each limit that counts the request is there, or none is taken.
+// Takes a token of each limit that applies to the request, or none.
 double SharedLimits::admit(int tenant, int request_class, double now_ms) {
   const auto& limits = limits_for(tenant, request_class);
   double retry_after_ms = 0;
@@ -129,7 +130,7 @@
     if (quota.tokens(now_ms) < 1) retry_after_ms = std::max(retry_after_ms, quota.retry_after_ms(now_ms));
   }
   if (retry_after_ms > 0) {
-    rejected_lately_ = true;
+    rejected_since_round_ = true;
     return retry_after_ms;
   }
   for (auto i : limits) quotas_[i].take_token();
@@ -155,27 +156,25 @@
   offers_[slot(peer)].lendable = std::move(lendable);
 }
 
-// Those that offer most go first, so that few are asked; those that lend already before others that offer a
-// little more, but not before all: 16 that lent a little kept an instance from asking the 8 that had most.
+// Ranks lenders by offer, so that few requests suffice. The weight prefers current lenders over slightly
+// larger offers, without letting many small ones exclude a large one.
 std::vector<SharedLimits::Lender> SharedLimits::ranked_lenders(int limit, double now_ms) const {
   std::vector<Lender> lenders;
   for (std::size_t k = 0; k < offers_.size(); ++k) {
-    auto i = (k + round_) % offers_.size();  // those that offer alike take turns
+    auto i = (k + round_) % offers_.size();  // equal offers take turns
     auto peer = membership::peer_at(i);
     double held = quota(limit).borrowed_from(peer, now_ms);
     double offer = std::max(held, rate_of(offers_[i].lendable, limit));
     if (offer > 0) lenders.push_back({.peer = peer, .held = held, .offer = offer});
   }
-  auto weight = [](const Lender& lender) {
-    return lender.offer * (lender.held > 0 ? held_lender_weight : 1);
-  };
+  auto weight = [](const Lender& lender) { return lender.offer * (lender.held > 0 ? held_offer_weight : 1); };
   std::stable_sort(lenders.begin(), lenders.end(),
                    [&](const Lender& a, const Lender& b) { return weight(a) > weight(b); });
   return lenders;
 }
 
 std::vector<LeaseRequest> SharedLimits::lease_requests(double now_ms) {
-  rejected_lately_ = false;
+  rejected_since_round_ = false;
   ++round_;
   std::vector<LeaseRequest> requests;
   for (int limit = 0; limit < size(); ++limit) request_shortfall(limit, now_ms, requests);
@@ -186,12 +185,12 @@
   const auto& held = quota(limit);
   double left = held.shortfall(now_ms);
   if (left <= 0) return;
-  double half_a_lease_on = now_ms + file_terms_.lease_ms / 2;
+  double half_lease_later_ms = now_ms + file_terms_.lease_ms / 2;
   for (const auto& lender : ranked_lenders(limit, now_ms)) {
     if (left <= 0) break;
     double wanted = std::min(left, lender.offer);
-    double assured = held.borrowed_from(lender.peer, half_a_lease_on);
-    if (assured >= renew_below * wanted) {
+    double assured = held.borrowed_from(lender.peer, half_lease_later_ms);
+    if (assured >= min_assured_share * wanted) {
       left -= assured;
       continue;
     }
@@ -202,10 +201,10 @@
       request = requests.insert(request, LeaseRequest{.lender = lender.peer, .quotas = {}});
     }
     request->quotas.push_back({.limit = limit, .rate = wanted});
-    // What it granted when it was last asked tells better than its offer what it will grant.
+    // The last grant predicts the next one better than the offer does.
     const auto& offer = offers_[slot(lender.peer)];
-    bool granted_lately = now_ms - offer.granted_at_ms < file_terms_.lease_ms;
-    left -= granted_lately ? std::max(rate_of(offer.last_grant, limit), assured) : wanted;
+    bool has_fresh_grant = now_ms - offer.granted_at_ms < file_terms_.lease_ms;
+    left -= has_fresh_grant ? std::max(rate_of(offer.last_grant, limit), assured) : wanted;
   }
 }
 
@@ -220,7 +219,8 @@
   return granted;
 }
 
-// The lease ends by the time of the request: the lender made its grant later, and so counts it for longer.
+// The lease runs from the time of the request. The lender made its grant later, so it counts the lease for
+// longer than this instance does.
 bool SharedLimits::accept_grant(PeerIndex lender, double requested_at_ms, std::span<const Quota> granted,
                                 double now_ms) {
   double expires_at_ms = requested_at_ms + file_terms_.lease_ms;
@@ -242,16 +242,32 @@
   if (slot(peer) < offers_.size()) offers_[slot(peer)] = {};
 }
 
-std::string SharedLimits::broken_invariant(double now_ms) const {
-  if (quotas_.size() != terms_.limits.size()) return "not one quota for each limit";
-  if (file_terms_.limits.size() != terms_.limits.size()) return "limits in force are not those of the file";
-  if ((ownership_ == Ownership::no_address) != (owned_from_ == never))
-    return "a quarantine without an address";
-  if (ownership_ == Ownership::owning && now_ms < owned_from_) return "owns before the quarantine's end";
-  for (const auto& quota : quotas_) {
-    if (ownership_ != Ownership::owning && quota.available_rate(now_ms) > quota.borrowed(now_ms))
-      return "uses a share that it does not own yet";
-    if (auto broken = quota.broken_invariant(now_ms); !broken.empty()) return broken;
+std::optional<BrokenInvariant> SharedLimits::broken_invariant(double now_ms) const {
+  const auto limit_count = static_cast<double>(terms_.limits.size());
+  if (quotas_.size() != terms_.limits.size())
+    return BrokenInvariant{.invariant = Invariant::one_quota_per_limit,
+                           .value = static_cast<double>(quotas_.size()),
+                           .bound = limit_count};
+  if (file_terms_.limits.size() != terms_.limits.size())
+    return BrokenInvariant{.invariant = Invariant::file_limits_in_force,
+                           .value = static_cast<double>(file_terms_.limits.size()),
+                           .bound = limit_count};
+  if ((ownership_ == Ownership::no_address) != (owned_from_ms_ == never))
+    return BrokenInvariant{
+        .invariant = Invariant::quarantine_needs_address, .value = owned_from_ms_, .bound = never};
+  if (ownership_ == Ownership::owning && now_ms < owned_from_ms_)
+    return BrokenInvariant{
+        .invariant = Invariant::quarantine_elapsed, .value = now_ms, .bound = owned_from_ms_};
+  for (std::size_t i = 0; i < quotas_.size(); ++i) {
+    const auto& quota = quotas_[i];
+    double available = quota.available_rate(now_ms);
+    double borrowed = quota.borrowed(now_ms);
+    if (ownership_ != Ownership::owning && available > borrowed)
+      return BrokenInvariant{.invariant = Invariant::unowned_share_unused,
+                             .value = available,
+                             .bound = borrowed,
+                             .subject = terms_.limits[i].name};
+    if (auto broken = quota.broken_invariant(now_ms)) return broken;
   }
   return {};
 }
--- a/src/program/fleet_coordinator.cpp
+++ b/src/program/fleet_coordinator.cpp
@@ -228,7 +228,7 @@
     if (config_.verdicts && balancer_ && now_ms >= due_.next_verdicts) update_verdicts(now_ms);
     bool urgent = gossip_is_urgent_ && now_ms >= due_.last_gossip + urgent_gossip_interval_ms;
     if (now_ms >= due_.next_gossip || urgent) send_gossip(now_ms);
-    bool rejected = limits_.rejected_lately() && now_ms >= due_.next_urgent_requests;
+    bool rejected = limits_.rejected_since_round() && now_ms >= due_.next_urgent_requests;
     if (now_ms >= due_.next_lease_requests || rejected) send_lease_requests(now_ms);
   }
   if (now_ms >= due_.next_drop_log) log_drops(now_ms);
--- a/tests/fleet/config_agreement_test.cpp
+++ b/tests/fleet/config_agreement_test.cpp
@@ -1,5 +1,4 @@
-// Which members' files agree with this instance's, whose offers count, and how many lease datagrams may go:
-// as values.
+// Comparison of the members' files, the offers that count, and the budget of lease datagrams, as values.
 #include "fleet/config_agreement.hpp"
 
 #include <gtest/gtest.h>
@@ -29,9 +28,9 @@
                 now_ms);
 }
 
-TEST(ConfigAgreements, AllAgreeOnceEachMemberWasSeenWithTheSameDigest) {
+TEST(ConfigAgreements, AllAgreeOnceEveryMemberSentTheSameDigest) {
   auto members = three_members();
-  EXPECT_FALSE(compare_configs(members, own_digest, 0).all_agree);  // nobody was seen yet
+  EXPECT_FALSE(compare_configs(members, own_digest, 0).all_agree);  // no member was seen yet
   EXPECT_FALSE(compare_configs(members, own_digest, 0).live_member_differs);
   receive(members, "b1", own_digest, 0);
   EXPECT_FALSE(compare_configs(members, own_digest, 0).all_agree);
@@ -40,7 +39,7 @@
   EXPECT_TRUE(compare_configs(members, own_digest, 60000).all_agree);  // gone, but with the same file
 }
 
-TEST(ConfigAgreements, AMemberThatDiffersCountsAsLiveUntilItIsGone) {
+TEST(ConfigAgreements, DifferingMemberCountsAsLiveUntilItIsGone) {
   auto members = three_members();
   receive(members, "b1", own_digest, 0);
   receive(members, "b2", other_digest, 0);
@@ -52,7 +51,7 @@
   EXPECT_FALSE(compare_configs(members, own_digest, 5000).live_member_differs);
 }
 
-TEST(ConfigAgreements, OffersCountWhileTheirMemberIsAliveAndItsFileAgrees) {
+TEST(ConfigAgreements, OffersCountFromAliveMembersWithTheSameFile) {
   auto members = three_members();
   auto b1 = members.find("b1").value();
   auto b2 = members.find("b2").value();
@@ -64,7 +63,7 @@
   EXPECT_TRUE(usable_offer(members, b2, own_digest, 0).empty());
 }
 
-TEST(DatagramBudgets, OneSecondsWorthAtOnceAndThenAtTheRate) {
+TEST(DatagramBudgets, OneSecondOfDatagramsAtOnceThenAtTheRate) {
   DatagramBudget budget;
   double now_ms = 1796000000000;
   int sent = 0;
--- a/tests/fleet/fleet_limits_test.cpp
+++ b/tests/fleet/fleet_limits_test.cpp
@@ -1,6 +1,6 @@
-// Limits of a whole fleet as values: every order of messages, losses, duplicates, crashes and expiries of a
-// small case, long random ones, and a hundred instances in simulated time. The verdict is taken from what was
-// admitted.
+// Fleet-wide limits as values: all schedules of a small case (messages in any order, lost and duplicated,
+// crashes, expiries), long random schedules, and a hundred instances in simulated time. The checks compare
+// the admitted requests with the bound.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -30,16 +30,18 @@
 
 struct Message {
   bool grant = false;
-  int from = 0, to = 0;
+  int from = 0;
+  int to = 0;
   std::uint64_t from_incarnation = 0, to_incarnation = 0;
   double requested_at_ms = 0;  // by the requester's clock
   std::vector<Quota> quotas;
 };
 
-// Instances with clocks that differ in reading and in rate, and messages that come when the schedule says, as
-// often as it says.
+// Instances whose clocks differ in reading and in rate. The schedule decides when and how often each message
+// is delivered.
 struct World {
-  static constexpr double rate = 30, burst = 24;
+  static constexpr double rate_per_s = 30;
+  static constexpr double burst_requests = 24;
   explicit World(int n) : at(static_cast<std::size_t>(n)) {
     for (int i = 0; i < n; ++i) {
       incarnations.push_back(0);
@@ -48,13 +50,14 @@
   }
   [[nodiscard]] int count() const { return static_cast<int>(at.size()); }
   void start(int i) {
-    at[static_cast<std::size_t>(i)] = {SharedLimits(terms(count(), rate, burst), 1, 1, clock(i))};
+    at[static_cast<std::size_t>(i)] = {
+        SharedLimits(terms(count(), rate_per_s, burst_requests), 1, 1, clock(i))};
     ++incarnations[static_cast<std::size_t>(i)];
     of(i).address_acquired(clock(i));
     for (int p = 0; p < count(); ++p) offer(i, p);
   }
   void offer(int i, int p) {
-    if (p != i) of(i).set_offer(peer(p), {{.limit = 0, .rate = rate / static_cast<double>(at.size())}});
+    if (p != i) of(i).set_offer(peer(p), {{.limit = 0, .rate = rate_per_s / static_cast<double>(at.size())}});
   }
   SharedLimits& of(int i) { return at[static_cast<std::size_t>(i)].front(); }
   // The drift of two clocks together stays below what a lender allows for.
@@ -73,7 +76,7 @@
     if (sent.size() >= 5) sent.erase(sent.begin());
     sent.push_back(std::move(m));
   }
-  // Leaves it where it is: it may come again, and much later.
+  // Keeps the message, so that a schedule can deliver it again and late.
   void deliver(std::size_t k) {
     auto m = sent[k];
     auto& to = of(m.to);
@@ -97,22 +100,24 @@
   void take(int i) {
     while (of(i).admit(0, 0, clock(i)) == 0) admit();
   }
-  // Over any window: what a bucket of the whole fleet would have let through.
+  // Counts against one token bucket of the whole fleet, which states the bound over any window.
   void admit() {
-    bucket = std::min(burst, bucket + rate * 1.005 * (now_ms - bucket_at_ms) / 1000);
+    bucket = std::min(burst_requests, bucket + rate_per_s * 1.005 * (now_ms - bucket_at_ms) / 1000);
     bucket_at_ms = now_ms;
     bucket -= 1;
     ++admitted;
   }
-  [[nodiscard]] std::string wrong() {
-    double rates = 0, tokens = 0;
+  // Empty where the bound and all invariants hold.
+  [[nodiscard]] std::string failure() {
+    double rates = 0;
+    double tokens = 0;
     for (int i = 0; i < count(); ++i) {
       rates += of(i).quota(0).available_rate(clock(i));
       tokens += of(i).quota(0).tokens(clock(i));
-      if (auto broken = of(i).broken_invariant(clock(i)); !broken.empty()) return broken;
+      if (auto broken = of(i).broken_invariant(clock(i))) return describe(broken);
     }
-    if (rates > rate * (1 + 1e-9)) return "rates add up to " + std::to_string(rates);
-    if (tokens > burst * (1 + 1e-9)) return "tokens add up to " + std::to_string(tokens);
+    if (rates > rate_per_s * (1 + 1e-9)) return "rates add up to " + std::to_string(rates);
+    if (tokens > burst_requests * (1 + 1e-9)) return "tokens add up to " + std::to_string(tokens);
     if (bucket < -1e-6) return "admitted beyond rate and burst by " + std::to_string(-bucket);
     return {};
   }
@@ -120,11 +125,13 @@
   std::vector<std::vector<SharedLimits>> at;
   std::vector<std::uint64_t> incarnations;
   std::vector<Message> sent;
-  double now_ms = 0, bucket = burst, bucket_at_ms = 0;
+  double now_ms = 0;
+  double bucket = burst_requests;  // tokens
+  double bucket_at_ms = 0;
   int admitted = 0;
 };
 
-// Step `k` of what may happen next; false: there is no such step.
+// Takes the possible step number `k`. False: there are fewer steps.
 bool step(World& w, std::size_t k) {
   auto n = w.at.size();
   if (k < n) return w.request(static_cast<int>(k)), true;
@@ -145,14 +152,14 @@
     if (!step(next, k)) break;
     ++seen;
     auto here = path + " " + std::to_string(k);
-    if (auto wrong = next.wrong(); !wrong.empty()) {
-      failure = wrong.append(" after").append(here);
+    if (auto broken = next.failure(); !broken.empty()) {
+      failure = broken.append(" after").append(here);
     } else if (depth > 1) {
       seen += explore(next, depth - 1, here, failure);
     } else {
-      // At the end all use what they believe to hold.
+      // At the end each instance uses all tokens that it holds.
       for (int i = 0; i < static_cast<int>(next.at.size()); ++i) next.take(i);
-      if (wrong = next.wrong(); !wrong.empty()) failure = wrong.append(" after").append(here);
+      if (broken = next.failure(); !broken.empty()) failure = broken.append(" after").append(here);
     }
   }
   return seen;
@@ -161,7 +168,7 @@
 TEST(FleetLimits, EveryOrderOfASmallCase) {
   std::string failure;
   std::size_t seen = 0;
-  // From a start; from where all own their shares; from where one has borrowed; from half a lease later.
+  // Starts: quarantined; all own their shares; one has borrowed; half a lease later; buckets full.
   World w(3);
   seen += explore(w, 5, "start:", failure);
   w.pass(1020);
@@ -198,8 +205,8 @@
         w.pass(static_cast<double>(rng() % 700));
       else
         w.take(i);
-      auto wrong = w.wrong();
-      ASSERT_EQ(wrong, "") << "seed " << seed << ", step " << k;
+      auto failure = w.failure();
+      ASSERT_EQ(failure, "") << "seed " << seed << ", step " << k;
     }
   }
 }
@@ -209,18 +216,18 @@
   w.pass(1100);
   for (auto s : steps) {
     if (!step(w, s % 16)) w.take(s % 3);
-    RC_ASSERT(w.wrong() == "");
+    RC_ASSERT(w.failure() == "");
   }
 }
 
-TEST(FleetLimits, AGrantIsWorthNothingToALaterIncarnationNorPastItsTime) {
+TEST(FleetLimits, GrantIsVoidAfterExpiryOrRestart) {
   World w(3);
   w.pass(1100);
   w.request(0);
   w.deliver(0);
   ASSERT_EQ(w.sent.size(), 3u);
   auto late = w;
-  late.now_ms += 1010;  // no one acts meanwhile: all are paused
+  late.now_ms += 1010;  // all instances are paused
   late.deliver(2);
   EXPECT_EQ(late.of(0).quota(0).borrowed(late.clock(0)), 0);
   w.start(0);
@@ -228,8 +235,15 @@
   EXPECT_EQ(w.of(0).quota(0).borrowed(w.clock(0)), 0);
 }
 
-// A process that was given up for dead may run on beside the one that took its name.
-TEST(FleetLimits, TwoIncarnationsOfOneNameAreLentToApart) {
+TEST(FleetLimits, BrokenInvariantNamesItsValues) {
+  EXPECT_EQ(describe(std::nullopt), "");
+  BrokenInvariant broken{
+      .invariant = Invariant::bucket_within_capacity, .value = 12.5, .bound = 12, .subject = "a/*"};
+  EXPECT_EQ(describe(broken), "token bucket exceeds its capacity: value 12.5, bound 12, subject a/*");
+}
+
+// A process that was declared dead may still run beside the process that took its name.
+TEST(FleetLimits, TwoIncarnationsOfOneNameBorrowSeparately) {
   World w(3);
   w.pass(1100);
   double first = w.of(1).quota(0).grant(peer(0), 1, 6, w.clock(1));
@@ -238,7 +252,7 @@
   EXPECT_LE(first + second + w.of(1).quota(0).available_rate(w.clock(1)), 10.0 + 1e-9);
 }
 
-TEST(FleetLimits, OneThatHasJustStartedUsesNoShareOfItsOwnButMayBorrow) {
+TEST(FleetLimits, QuarantinedInstanceOwnsNothingButMayBorrow) {
   World w(3);
   EXPECT_GT(w.of(0).admit(0, 0, w.clock(0)), 0);
   w.pass(1100);
@@ -248,10 +262,10 @@
   w.pass(400);
   w.take(0);
   EXPECT_GE(w.admitted, 3);
-  EXPECT_EQ(w.wrong(), "");
+  EXPECT_EQ(w.failure(), "");
 }
 
-TEST(FleetLimits, OneWithoutItsAddressOwnsNothing) {
+TEST(FleetLimits, InstanceWithoutAddressOwnsNothing) {
   SharedLimits l(terms(2, 100, 20), 1, 1, 0);
   for (double t = 0; t < 10000; t += 100) {
     l.update_agreement(all_agree, t);
@@ -259,7 +273,7 @@
   }
 }
 
-TEST(FleetLimits, OneThatStartsWithAnotherFileWaits) {
+TEST(FleetLimits, InstanceStartedWithAnotherFileWaits) {
   SharedLimits l(terms(2, 100, 20), 1, 1, 0);
   l.address_acquired(0);
   l.update_agreement(one_differs, 2000);
@@ -269,7 +283,7 @@
   EXPECT_EQ(l.admit(0, 0, 5000), 0);
 }
 
-TEST(FleetLimits, AReloadLowersAtOnceAndRaisesOnceAllAgree) {
+TEST(FleetLimits, ReloadLowersAtOnceRaisesAfterAgreement) {
   SharedLimits l(terms(2, 100, 20), 1, 1, 0);
   l.address_acquired(0);
   l.update_agreement(all_agree, 1100);
@@ -285,7 +299,7 @@
   EXPECT_DOUBLE_EQ(l.quota(0).available_rate(5011), 50);
 }
 
-TEST(FleetLimits, TenantRequestClassAndBothCountTogetherOrNotAtAll) {
+TEST(FleetLimits, RequestTakesTokensOfAllItsLimitsOrNone) {
   LimitTerms t{.limits = {{.name = "a/*", .tenant = 0, .rate = 100, .burst = 10},
                           {.name = "*/p", .request_class = 0, .rate = 100, .burst = 4},
                           {.name = "(others)/*", .tenant = match_others, .rate = 100, .burst = 2}}};
@@ -298,27 +312,27 @@
     return n;
   };
   EXPECT_EQ(admits(0, 0), 4);
-  EXPECT_EQ(admits(0, 1), 6);  // those rejected for the class took none of the tenant's
+  EXPECT_EQ(admits(0, 1), 6);  // rejections by the class took no tokens of the tenant
   EXPECT_EQ(admits(-1, 0), 0);
   EXPECT_EQ(admits(-1, 1), 2);
   l.undo_admission(-1, 1, 20000);
   EXPECT_EQ(admits(-1, 1), 1);
 }
 
-TEST(FleetLimits, ARejectionStatesWhenThereWillBeAToken) {
+TEST(FleetLimits, RejectionStatesTheTimeOfTheNextToken) {
   SharedLimits l(terms(1, 100, 10), 1, 1, 0);
   l.address_acquired(0);
   l.update_agreement(all_agree, 1100);
   double now_ms = 5000;
   while (l.admit(0, 0, now_ms) == 0) {
   }
-  std::vector<double> retry_at;
-  for (int k = 0; k < 20; ++k) retry_at.push_back(now_ms + l.admit(0, 0, now_ms));
-  for (double at : retry_at) EXPECT_EQ(l.admit(0, 0, at + 1), 0) << at;
+  std::vector<double> retry_times_ms;
+  for (int k = 0; k < 20; ++k) retry_times_ms.push_back(now_ms + l.admit(0, 0, now_ms));
+  for (double retry_at_ms : retry_times_ms) EXPECT_EQ(l.admit(0, 0, retry_at_ms + 1), 0) << retry_at_ms;
   for (int k = 0; k < 2000; ++k) EXPECT_LE(l.admit(0, 0, now_ms), LimitQuota::max_retry_after_ms);
 }
 
-// Simulated time, messages that take 1 ms: how much of the limit is admitted, by demand over instances.
+// The admitted share of the limit in simulated time, with `demand` in requests a second by instance and ms.
 double admitted(int n, const std::function<double(int i, double t)>& demand, double from, double until,
                 double rate, double burst, const std::vector<double>& parts = {}) {
   std::vector<SharedLimits> all;
@@ -332,7 +346,8 @@
   }
   std::minstd_rand rng(7);
   std::vector<double> next(static_cast<std::size_t>(n), 0);
-  double bucket = burst, count = 0;
+  double bucket = burst;
+  double count = 0;
   for (double t = 0; t < until; t += 1) {
     bucket = std::min(burst, bucket + rate / 1000);
     for (int i = 0; i < n; ++i) {
@@ -350,13 +365,13 @@
           if (p != i) all[static_cast<std::size_t>(p)].set_offer(peer(i), l.lendable(t));
       }
       if (!(static_cast<int>(t) % 250 == i % 250 ||
-            (l.rejected_lately() && static_cast<int>(t) % 50 == i % 50)))
+            (l.rejected_since_round() && static_cast<int>(t) % 50 == i % 50)))
         continue;
       for (const auto& request : l.lease_requests(t)) {
         auto& lender = all[static_cast<std::size_t>(index(request.lender))];
         l.accept_grant(request.lender, t, lender.grant(peer(i), 1, request.quotas, t), t);
       }
-      EXPECT_EQ(l.broken_invariant(t), "");
+      EXPECT_EQ(describe(l.broken_invariant(t)), "");
     }
     EXPECT_GE(bucket, -1e-6) << "over the bound at " << t;
     if (bucket < -1e-6) break;
@@ -370,10 +385,10 @@
   EXPECT_GT(admitted(
                 6, [](int i, double) { return i == 3 ? 840 : 0; }, 2000, 8000, 300, 60),
             0.95);
-  // A zone's clients move within a second.
+  // The clients of one zone move to another zone.
   auto moves = [](int i, double t) { return (t < 4000 ? i < 2 : i > 3) ? 420 : 0; };
   EXPECT_GT(admitted(6, moves, 6000, 10000, 300, 60), 0.95);
-  // All at one of 100; few have most of the parts.
+  // All demand at one instance of 100; eight instances own most of the shares.
   std::vector<double> parts(100, 1);
   std::fill(parts.begin(), parts.begin() + 8, 1000);
   EXPECT_GT(admitted(
@@ -382,7 +397,7 @@
 }
 
 TEST(FleetLimits, BelowTheLimitNothingIsRejected) {
-  // 240 of 300 a second asked for: what is admitted is what came, but for a hundredth.
+  // Demand is 240 of 300 a second, so a share of 0.79 admits all but a hundredth of it.
   auto lopsided = [](int i, double) { return 240 * (i < 2 ? 0.35 : i < 4 ? 0.1 : 0.05); };
   EXPECT_GT(admitted(6, lopsided, 2000, 12000, 300, 60), 0.79);
 }
--- a/tests/program/operator_test.cpp
+++ b/tests/program/operator_test.cpp
@@ -147,7 +147,7 @@
     return all.empty() ? std::string() : all[0].substr(all[0].find(": ") + 2);
   };
   EXPECT_EQ(only(with(three, "rate = 300\nburst = 60", "rate = 300\nburst = 5")),
-            "limits leave less than one visit at each instance: burst of acme/* is below 6");
+            "limits leave less than one request at each instance: burst of acme/* is below 6");
   EXPECT_EQ(only(with(three, "name = \"b1\"\nlisten", "name = \"b7\"\nlisten")),
             "fleet.name is not among the peers: b7");
   EXPECT_EQ(only(with(three, "tenant = \"acme\"", "tenant = \"nobody\"")),
