--- a/src/hot_restart/checked_text.cpp
+++ b/src/hot_restart/checked_text.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// FNV-1a.
+// FNV-1a, 64 bits.
 std::uint64_t checksum(std::string_view text) {
   std::uint64_t hash = 14695981039346656037ULL;
   for (char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
@@ -27,6 +27,20 @@
 
 }  // namespace
 
+std::string_view name_of(TextError::Kind kind) {
+  switch (kind) {
+    case TextError::Kind::wrong_header:
+      return "wrong header";
+    case TextError::Kind::checksum_mismatch:
+      return "checksum mismatch";
+    case TextError::Kind::malformed_line:
+      return "malformed line";
+    case TextError::Kind::expired:
+      break;
+  }
+  return "expired";
+}
+
 std::string add_checksum(std::string_view kind, std::string_view body) {
   std::string text = header(kind);
   text.append(body);
@@ -38,7 +52,7 @@
   if (!text.starts_with(first))
     return TextError{.kind = TextError::Kind::wrong_header,
                      .value = std::string(text.substr(0, text.find('\n')))};
-  // The newline before the last line; the text's own last byte is one too.
+  // Finds the newline before the last line; the text's last byte is a newline too.
   auto body_end = text.size() < 2 ? std::string_view::npos : text.rfind('\n', text.size() - 2);
   if (body_end == std::string_view::npos) return TextError{.kind = TextError::Kind::checksum_mismatch};
   auto checked = text.substr(0, body_end + 1);
--- a/src/hot_restart/handover_snapshot.cpp
+++ b/src/hot_restart/handover_snapshot.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::string_view made_at = "at";  // the entry that holds the snapshot's time
+constexpr std::string_view made_at_entry = "at";  // stored name of the entry with the snapshot's time
 
 void append_entry(std::string& body, std::string_view name, double value) {
   std::array<char, 40> text{};
@@ -20,7 +20,7 @@
   body.append(name).append(text.data());
 }
 
-// A name, a space, a number.
+// Parses a name, a space and a number.
 std::optional<std::pair<std::string, double>> read_entry(std::string_view line) {
   auto space = line.rfind(' ');
   if (space == std::string_view::npos) return {};
@@ -33,11 +33,12 @@
 
 }  // namespace
 
-std::string encode_snapshot(const LearnedState& learned, double at) {
+std::string encode_snapshot(const LearnedState& learned, double made_at_ms) {
   std::string body;
-  append_entry(body, made_at, at);
+  append_entry(body, made_at_entry, made_at_ms);
   for (const auto& [name, value] : learned) {
-    bool writable = name != made_at && name.find_first_of(" \n") == std::string::npos && std::isfinite(value);
+    bool writable =
+        name != made_at_entry && name.find_first_of(" \n") == std::string::npos && std::isfinite(value);
     if (writable) append_entry(body, name, value);
   }
   return add_checksum(snapshot_file, body);
@@ -55,13 +56,14 @@
     if (!entry) return TextError{.kind = TextError::Kind::malformed_line, .value = std::string(line)};
     learned[entry->first] = entry->second;
   }
-  auto at = learned.find(std::string(made_at));
-  if (at == learned.end())
-    return TextError{.kind = TextError::Kind::malformed_line, .value = std::string(made_at)};
-  // All processes of a balancer read one clock: a time well ahead was not written by a predecessor.
-  if (now_ms - at->second > max_age_ms || at->second > now_ms + max_age_ms)
-    return TextError{.kind = TextError::Kind::expired, .value = std::to_string(at->second)};
-  learned.erase(at);
+  auto entry = learned.find(std::string(made_at_entry));
+  if (entry == learned.end())
+    return TextError{.kind = TextError::Kind::malformed_line, .value = std::string(made_at_entry)};
+  double made_at_ms = entry->second;
+  // All processes of a balancer read one clock, so no predecessor writes a time far ahead.
+  if (now_ms - made_at_ms > max_age_ms || made_at_ms > now_ms + max_age_ms)
+    return TextError{.kind = TextError::Kind::expired, .value = std::to_string(made_at_ms)};
+  learned.erase(entry);
   return learned;
 }
 
--- a/src/hot_restart/handover_snapshot.hpp
+++ b/src/hot_restart/handover_snapshot.hpp
@@ -1,4 +1,4 @@
-// What a process of a balancer has learned, as text that its successor reads at its start.
+// The learned state of a process, as text that its successor reads at the start. No I/O.
 #pragma once
 
 #include <string>
@@ -10,12 +10,12 @@
 
 namespace meadowgauge::hot_restart {
 
-// The snapshot's file in the state directory.
+// The snapshot's file in the state directory. A stored name.
 inline constexpr std::string_view snapshot_file = "lessons";
 
-// `at`: when it was learned, in ms of Unix time.
-std::string encode_snapshot(const LearnedState& learned, double at_ms);
-// Expired: made more than `max_age_ms` before `now`, or after it.
+// `made_at_ms` is Unix time. Omits entries that the format can't hold.
+std::string encode_snapshot(const LearnedState& learned, double made_at_ms);
+// A snapshot whose time differs from `now_ms` by more than `max_age_ms` has expired.
 std::variant<LearnedState, TextError> decode_snapshot(std::string_view text, double now_ms,
                                                       double max_age_ms);
 
--- a/src/hot_restart/instance_locks.cpp
+++ b/src/hot_restart/instance_locks.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 
-constexpr std::string_view file_prefix = "seat.";  // on disk
-constexpr char serving_mark = 'y';                 // the file's one byte once its process serves
+constexpr std::string_view file_prefix = "seat.";  // stored name
+constexpr char serving_mark = 'y';                 // the file's only byte, once its process serves
 
 }  // namespace
 
 InstanceLocks::InstanceLocks(StateDirectory directory) : directory_(std::move(directory)) {
   auto lock = directory_.lock();
   if (!lock) return;
-  long last = 0;
-  for (long number : numbers()) last = std::max(last, number);
-  held_ = FileLock(open(path_of(last + 1).c_str(), O_RDWR | O_CREAT | O_NOFOLLOW | O_CLOEXEC, 0600));
+  long max_number = 0;
+  for (long number : numbers()) max_number = std::max(max_number, number);
+  held_ = FileLock(open(path_of(max_number + 1).c_str(), O_RDWR | O_CREAT | O_NOFOLLOW | O_CLOEXEC, 0600));
   if (held_ && flock(held_.get(), LOCK_EX | LOCK_NB) != 0) held_.close();
-  if (held_) number_ = last + 1;
+  if (held_) number_ = max_number + 1;
 }
 
 InstanceLocks::~InstanceLocks() {
@@ -59,7 +59,7 @@
     auto path = path_of(number);
     FileLock other(open(path.c_str(), O_RDONLY | O_NOFOLLOW | O_CLOEXEC));
     if (!other) continue;
-    // Nobody holds it any more: its process has ended without removing it.
+    // The lock is free: the file's process has ended without removing it.
     if (flock(other.get(), LOCK_SH | LOCK_NB) == 0) {
       unlink(path.c_str());
       continue;
--- a/src/hot_restart/instance_locks.hpp
+++ b/src/hot_restart/instance_locks.hpp
@@ -1,5 +1,5 @@
-// Which processes of one balancer there are, in the order of their start. Each holds a lock on a file of its
-// own, which the system lets go of however the process ends.
+// The running processes of one balancer, in the order of their start. Each holds a lock on its own file; the
+// system releases the lock however the process ends.
 #pragma once
 
 #include <string>
@@ -13,15 +13,15 @@
 // Owns this process's lock and its file.
 class InstanceLocks {
  public:
-  // Takes the lock after all others. Where there is no folder it holds none, and there seem to be no others.
+  // Takes the lock with the next number. Without a state directory it holds no lock and finds no process.
   explicit InstanceLocks(StateDirectory directory);
   ~InstanceLocks();
   InstanceLocks(const InstanceLocks&) = delete;
   InstanceLocks& operator=(const InstanceLocks&) = delete;
 
-  // The other processes now. Removes the files of those that have ended.
+  // The other running processes. Removes the files of ended processes.
   PeerProcesses scan();
-  // This process serves: the others may see it.
+  // Marks this process as serving, for the others to see.
   void mark_serving();
 
  private:
@@ -29,7 +29,7 @@
   [[nodiscard]] std::vector<long> numbers() const;
 
   StateDirectory directory_;
-  long number_ = 0;  // a later start has a higher one
+  long number_ = 0;  // a later process has a higher number
   FileLock held_;
 };
 
--- a/src/hot_restart/manual_drains.hpp
+++ b/src/hot_restart/manual_drain_file.hpp
@@ -1,10 +1,11 @@
-// The servers that operators have drained by hand: one set for all processes of a balancer, kept over an
-// upgrade.
+// The stored set of manually drained servers, shared by all processes of a balancer and kept over upgrades.
+// The endpoints of one process that are drained: proxy/endpoint/manual_drains.hpp.
 #pragma once
 
 #include <set>
 #include <string>
 #include <string_view>
+#include <system_error>
 #include <variant>
 
 #include "hot_restart/checked_text.hpp"
@@ -13,21 +14,24 @@
 
 namespace meadowgauge::hot_restart {
 
-class ManualDrains {
+// Reads and writes the file. Without a state directory the set lives in memory alone.
+class ManualDrainFile {
  public:
   static constexpr std::size_t max_servers = 4096;
 
-  // Reads what is stored. `log` takes a line where the file can't be read or written.
-  ManualDrains(StateDirectory directory, proxy::Logger log);
+  // Reads the stored set. Logs a warning where the file is invalid or can't be written.
+  ManualDrainFile(StateDirectory directory, proxy::Logger log);
   // Names of the drained servers.
   [[nodiscard]] const std::set<std::string>& names() const { return names_; }
-  // Drains a server or puts it back, for all processes. False: too many are drained, and nothing has changed.
+  // Drains or undrains a server for all processes. False: too many servers are drained; nothing has changed.
   bool set_drained(const std::string& server, bool drained);
-  // Takes over what another process has written. True: the set has changed.
+  // Reads changes by other processes. True: the set has changed.
   bool refresh();
 
  private:
   void reread();
+  void log_invalid_file(const TextError& error) const;
+  void log_write_failure(const std::error_code& error) const;
 
   StateDirectory directory_;
   proxy::Logger log_;
@@ -35,7 +39,7 @@
   std::string last_text_;  // the file as last read or written
 };
 
-// The set as it stands in the file, and back.
+// The set as the file's text, and back.
 std::string encode_drains(const std::set<std::string>& names);
 std::variant<std::set<std::string>, TextError> decode_drains(std::string_view text);
 
--- a/src/hot_restart/state_directory.cpp
+++ b/src/hot_restart/state_directory.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t max_file_bytes = std::size_t{1024} * 1024;
-constexpr std::size_t max_name_chars = 64;  // of a balancer's name in file names
+constexpr std::size_t max_name_chars = 64;  // characters of a balancer's name in file names
 
 bool fits_file_name(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-';
--- a/src/hot_restart/state_directory.hpp
+++ b/src/hot_restart/state_directory.hpp
@@ -1,5 +1,5 @@
-// The files that processes of one balancer share: written whole, under a lock. Where no folder is given there
-// are none, and nothing outlives the process.
+// The files that the processes of one balancer share. Each is written as a whole, under a lock. Without a
+// folder there are no files, and no state outlives the process.
 #pragma once
 
 #include <string>
@@ -10,27 +10,27 @@
 
 namespace meadowgauge::hot_restart {
 
-// Holds a lock on a file until it is closed, also by the process's end.
+// Holds a lock on a file until it is closed or the process ends.
 using FileLock = transport::Fd;
 
 class StateDirectory {
  public:
   StateDirectory() = default;
-  // The names of all files of the balancer `name` begin alike. `folder` may be empty.
+  // `name` is the balancer's name, part of all file names. `folder` may be empty.
   StateDirectory(const std::string& folder, std::string_view name);
 
-  // Whether there is a folder to share files in.
+  // Whether the processes share a folder.
   [[nodiscard]] bool exists() const { return !base_.empty(); }
   [[nodiscard]] std::string path_of(std::string_view file) const { return base_ + std::string(file); }
-  // Waits for whoever writes now. Empty where there is no folder to write in.
+  // Waits until no other process holds the lock. Empty without a writable folder.
   [[nodiscard]] FileLock lock() const;
-  // Replaces a file at once: no process sees it half written. After an error the old one stands.
+  // Replaces a file atomically: no process reads half of it. After an error the old file remains.
   [[nodiscard]] std::error_code write(std::string_view file, std::string_view text) const;
-  // Up to a megabyte; empty where there is nothing to read.
+  // The file's text, up to a megabyte; empty where the file is missing or unreadable.
   [[nodiscard]] std::string read(std::string_view file) const;
 
   [[nodiscard]] const std::string& folder() const { return folder_; }
-  // What the names of all files of the balancer begin with.
+  // The prefix of all file names of the balancer.
   [[nodiscard]] const std::string& stem() const { return stem_; }
 
  private:
--- a/src/hot_restart/takeover.cpp
+++ b/src/hot_restart/takeover.cpp
@@ -1,22 +1,34 @@
 #include "hot_restart/takeover.hpp"
 
+#include <algorithm>
+#include <array>
+#include <sstream>
+#include <string_view>
+
 namespace meadowgauge::hot_restart {
 
 namespace {
 
-// Each process looks at the others every 100 ms: after this, an older one has seen this one and given way,
-// and each has read what one has written.
+// Processes scan each other every 100 ms, so within this time every process has seen a change.
 constexpr double peers_see_after_ms = 250;
-// Discovery may be out of reach: the endpoints of the configuration are served from then.
+// With discovery unreachable for this long the configured endpoints are served.
 constexpr double max_wait_for_endpoints_ms = 1500;
 constexpr double snapshot_interval_ms = 1000;
 
+// By TakeoverInvariant.
+constexpr std::array<std::string_view, static_cast<std::size_t>(TakeoverInvariant::count)> invariant_texts{
+    "number of processes is negative",
+    "a newer process serves, but none is counted",
+    "snapshot is dated before the start",
+    "process serves before its first update",
+};
+
 }  // namespace
 
 Takeover::Takeover(const PeerProcesses& peers, double now_ms)
     : peers_(peers), started_at_ms_(now_ms), saved_at_ms_(now_ms), replaces_another_(peers.total() > 0) {}
 
-// Alone there is nobody to wait for: the process that was to be replaced has gone.
+// A process without peers has nothing to wait for: the one it replaces has ended.
 bool Takeover::is_due(bool endpoints_known, double now_ms) const {
   if (peers_.total() == 0) return true;
   double waited_ms = now_ms - started_at_ms_;
@@ -28,7 +40,7 @@
   bool count_changed = peers.total() != peers_.total();
   bool older_changed = peers.older != peers_.older;
   peers_ = peers;
-  // At the start the share is the whole: there is nothing to set unless there are others.
+  // The initial share is 1, so the first update sets it only beside other processes.
   actions.set_share = updated_ ? count_changed : peers.total() > 0;
   actions.share = 1.0 / (1 + peers.total());
   updated_ = true;
@@ -56,13 +68,27 @@
 
 double Takeover::drain_delay_ms() const { return peers_.total() > 0 ? peers_see_after_ms : 0; }
 
-std::string Takeover::broken_invariant() const {
-  if (peers_.older < 0 || peers_.newer < 0) return "a negative number of processes";
-  if (peers_.newer_serves && peers_.newer == 0) return "a newer process serves and there is none";
-  if (saved_at_ms_ < started_at_ms_) return "a snapshot before the start";
+std::optional<BrokenTakeoverInvariant> Takeover::broken_invariant() const {
+  if (peers_.older < 0 || peers_.newer < 0)
+    return BrokenTakeoverInvariant{.invariant = TakeoverInvariant::process_counts_not_negative,
+                                   .value = static_cast<double>(std::min(peers_.older, peers_.newer))};
+  if (peers_.newer_serves && peers_.newer == 0)
+    return BrokenTakeoverInvariant{.invariant = TakeoverInvariant::serving_peer_is_counted, .bound = 1};
+  if (saved_at_ms_ < started_at_ms_)
+    return BrokenTakeoverInvariant{
+        .invariant = TakeoverInvariant::snapshot_after_start, .value = saved_at_ms_, .bound = started_at_ms_};
   bool had_update = state_ == State::serving || state_ == State::ending || state_ == State::handed_over;
-  if (had_update && !updated_) return "serves before it has seen the others";
+  if (had_update && !updated_)
+    return BrokenTakeoverInvariant{.invariant = TakeoverInvariant::update_before_serving, .bound = 1};
   return {};
 }
 
+std::string describe(const std::optional<BrokenTakeoverInvariant>& broken) {
+  if (!broken) return {};
+  std::ostringstream text;
+  text << invariant_texts[static_cast<std::size_t>(broken->invariant)] << ": value " << broken->value
+       << ", bound " << broken->bound;
+  return text.str();
+}
+
 }  // namespace meadowgauge::hot_restart
--- a/src/program/admin_service.hpp
+++ b/src/program/admin_service.hpp
@@ -4,7 +4,7 @@
 
 #include "admin/server.hpp"
 #include "hot_restart/instance_locks.hpp"
-#include "hot_restart/manual_drains.hpp"
+#include "hot_restart/manual_drain_file.hpp"
 #include "hot_restart/takeover.hpp"
 #include "program/fleet_coordinator.hpp"
 #include "proxy/balancer.hpp"
@@ -46,7 +46,7 @@
   proxy::Logger log_;
   const FleetCoordinator* fleet_;  // none where the file has no [fleet]
   transport::Clock clock_;
-  hot_restart::ManualDrains drains_;
+  hot_restart::ManualDrainFile drains_;
   hot_restart::Takeover takeover_;
   admin::Server server_;
 };
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -1,6 +1,5 @@
-// Upgrades: a new process of the program takes over from the one that runs. First the files that both share,
-// and what the policy hands over, as values; then two processes, whose clients and upstream the test plays
-// over loopback.
+// Upgrades: a new process of the program takes over from the running one. Tests the shared files and the
+// learned state as values, then two processes with the test as clients and upstream over loopback.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -42,12 +41,12 @@
   EXPECT_EQ(second->scan().total(), 1);
   second.reset();
   EXPECT_EQ(third.scan().total(), 0);
-  std::ofstream(state.path_of("seat.99")) << 'y';  // of a process that was killed
+  std::ofstream(state.path_of("seat.99")) << 'y';  // file of a killed process
   EXPECT_EQ(third.scan().total(), 0);
   EXPECT_EQ(hot_restart::InstanceLocks(hot_restart::StateDirectory()).scan().total(), 0);
 }
 
-TEST(HandoverSnapshots, AreTakenOnlyWholeAndRecent) {
+TEST(HandoverSnapshots, AreAcceptedOnlyWholeAndRecent) {
   LearnedState learned{{"calm", 12.5}, {"bench@s1", 1e12}};
   auto text = hot_restart::encode_snapshot(learned, 1000);
   auto decoded = hot_restart::decode_snapshot(text, 3000, 5000);
@@ -63,13 +62,13 @@
   for (std::size_t n = 0; n < text.size(); ++n) EXPECT_TRUE(error_at(text.substr(0, n), 3000)) << n;
 }
 
-TEST(LearnedState, NamesTheServerThatIsSilent) {
+TEST(LearnedState, NamesTheUnresponsiveEndpoint) {
   PolicyHarness w({}, 4, 3);
   for (int i = 0; i < 110; ++i) {
-    int silent = w.sends[2];
+    int sends_before = w.sends[2];
     int id = w.submit(1, 5000);
     w.pass(40);
-    if (w.sends[2] == silent) w.end(id, 0, Outcome::succeeded);
+    if (w.sends[2] == sends_before) w.end(id, 0, Outcome::succeeded);
   }
   ASSERT_GT(w.sends[2], 0);
   EXPECT_GT(w.policy.learned_state(w.now_ms)["bench@2"], w.now_ms);
@@ -130,7 +129,7 @@
   pair.next.reset();
   pair.start_next();
   pair.wait_until_next_serves();
-  pair.next.reset();  // killed as it serves
+  pair.next.reset();  // killed while it serves
   auto client = pair.old.connect();
   client.send(http_request("/pay"));
   auto upstream = accept_and_respond(pair.upstream, ok_response);
@@ -145,7 +144,7 @@
   pair.start_next();
   pair.old.terminate();
   pair.old.wait_for_log("serves on for a while");
-  EXPECT_EQ(pair.old.get_status("/-/ready"), 503);  // connections are still accepted
+  EXPECT_EQ(pair.old.get_status("/-/ready"), 503);  // but connections are still accepted
   pair.wait_until_next_serves();
   EXPECT_EQ(pair.old.exit_status(), 0);
   EXPECT_EQ(pair.next->get_status("/-/ready"), 200);
@@ -196,13 +195,21 @@
   EXPECT_EQ(status_of(client.receive_message()), 200);
 }
 
-TEST(Upgrade, ServesAtOnceWhenTheOldProcessIsKilledAndExitsAtOnceWhenItNeverServed) {
+TEST(Upgrade, ServesAtOnceWhenTheOldProcessIsKilled) {
   UpgradePair pair;
   pair.start_next();
   kill(pair.old.pid(), SIGKILL);
   pair.old.exit_status();
   pair.wait_until_next_serves();
   EXPECT_EQ(pair.next->get_status("/-/ready"), 200);
+}
+
+TEST(Upgrade, ExitsAtOnceWhenItHasNeverServed) {
+  UpgradePair pair;
+  pair.start_next();
+  kill(pair.old.pid(), SIGKILL);
+  pair.old.exit_status();
+  pair.wait_until_next_serves();
   auto third = pair.start_another();
   third->terminate();
   third->wait_for_log("it has not served yet");
--- a/tests/hot_restart/manual_drain_test.cpp
+++ b/tests/hot_restart/manual_drain_test.cpp
@@ -1,12 +1,15 @@
-// Servers that operators drain by hand: the stored set, the policy without sockets, and the running program,
-// whose operators, clients, upstreams and discovery the test plays over loopback.
+// Manual drains: the stored set, the policy without sockets, and the running program with the test as
+// operators, clients, upstreams and discovery over loopback.
 #include <gtest/gtest.h>
 
 #include <csignal>
 #include <fstream>
 #include <set>
+#include <span>
 #include <string>
+#include <string_view>
 #include <variant>
+#include <vector>
 
 #include "fixtures/discovery_stand_in.hpp"
 #include "fixtures/http_messages.hpp"
@@ -14,12 +17,12 @@
 #include "fixtures/proxy_process.hpp"
 #include "fixtures/temporary_directory.hpp"
 #include "fixtures/upgrade_pair.hpp"
-#include "hot_restart/manual_drains.hpp"
+#include "hot_restart/manual_drain_file.hpp"
 
 namespace meadowgauge::test {
 namespace {
 
-TEST(ManualDrains, AreStoredWholeAndDamagedFilesAreRefused) {
+TEST(ManualDrainFiles, AreStoredWholeAndDamagedFilesAreRefused) {
   using hot_restart::TextError;
   std::set<std::string> names{"a", "b"};
   auto text = hot_restart::encode_drains(names);
@@ -35,24 +38,40 @@
   }
 }
 
-TEST(ManualDrains, AreSharedByAllProcesses) {
+TEST(ManualDrainFiles, AreSharedByAllProcesses) {
   TemporaryDirectory directory;
   hot_restart::StateDirectory state(directory.path(), "n0");
-  hot_restart::ManualDrains a(state, {}), b(state, {});
+  hot_restart::ManualDrainFile a(state, {}), b(state, {});
   EXPECT_TRUE(a.set_drained("s1", true));
-  EXPECT_TRUE(b.set_drained("s2", true));  // reads the other's before it writes
+  EXPECT_TRUE(b.set_drained("s2", true));  // reads the other process's set before it writes
   EXPECT_TRUE(a.refresh());
   EXPECT_EQ(a.names(), (std::set<std::string>{"s1", "s2"}));
   EXPECT_FALSE(a.refresh());
   std::ofstream(state.path_of("outs")) << "torn";
   EXPECT_FALSE(a.refresh());
   EXPECT_EQ(a.names().size(), 2U);
-  hot_restart::ManualDrains alone(hot_restart::StateDirectory(), {});
+  hot_restart::ManualDrainFile alone(hot_restart::StateDirectory(), {});
   EXPECT_TRUE(alone.set_drained("s1", true));
   EXPECT_FALSE(alone.refresh());
 }
 
-// Nothing is sent to a drained server, by whatever decision.
+TEST(ManualDrainFiles, DamagedFileIsLoggedWithItsReason) {
+  TemporaryDirectory directory;
+  hot_restart::StateDirectory state(directory.path(), "n0");
+  std::vector<std::string> lines;
+  proxy::Logger log(proxy::Level::warning,
+                    [&](proxy::Level, std::string_view line, std::span<const proxy::LogField>) {
+                      lines.emplace_back(line);
+                    });
+  hot_restart::ManualDrainFile drains(state, log);
+  EXPECT_TRUE(drains.set_drained("s1", true));
+  std::ofstream(state.path_of("outs")) << "torn";
+  EXPECT_FALSE(drains.refresh());
+  EXPECT_FALSE(drains.refresh());  // logged once for each change of the file
+  EXPECT_EQ(lines, std::vector{"manual drain file ignored: " + state.path_of("outs") + ": wrong header"});
+}
+
+// No decision sends anything to a drained server.
 TEST(ManualDrain, SendsNothingWhateverIsListedUntilItEnds) {
   PolicyHarness w({}, 2, 5);
   w.policy.set_manual_drain(EndpointIndex{0}, true, w.now_ms);
@@ -119,7 +138,7 @@
   auto at = proxy.upstreams[0].address();
   publish(watch,
           endpoint_list(2, true, {endpoint_entry(7, at), endpoint_entry(1, proxy.upstreams[1].address())}));
-  while (proxy.admin_reply("ONLINE s7\n") != "ok\n") {  // until the list was read
+  while (proxy.admin_reply("ONLINE s7\n") != "ok\n") {  // until the list is read
   }
   auto client = proxy.connect();
   TcpConnection upstream;
--- a/tests/hot_restart/stored_data_test.cpp
+++ b/tests/hot_restart/stored_data_test.cpp
@@ -1,5 +1,5 @@
-// Bytes that other processes of a balancer, or other instances of a fleet, read: written by an earlier build
-// and held here as constants. This build has to read them as they were meant, and to write the same.
+// Bytes that other processes of a balancer or other instances of a fleet read. The constants come from an
+// earlier build; this build must read the same values from them and write the same bytes.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -11,7 +11,7 @@
 #include "fleet/config.hpp"
 #include "hot_restart/handover_snapshot.hpp"
 #include "hot_restart/instance_locks.hpp"
-#include "hot_restart/manual_drains.hpp"
+#include "hot_restart/manual_drain_file.hpp"
 #include "membership/datagram.hpp"
 
 namespace meadowgauge {
@@ -156,7 +156,7 @@
     locks.mark_serving();
     EXPECT_EQ(content("meadowgauge.n_0.seat.1"), "y");
     EXPECT_EQ(content("meadowgauge.n_0.lock"), "");
-    hot_restart::ManualDrains drains(directory, {});
+    hot_restart::ManualDrainFile drains(directory, {});
     EXPECT_TRUE(drains.set_drained("s1", true));
     EXPECT_EQ(content("meadowgauge.n_0.outs"), one_drain_text);
     std::ofstream(std::filesystem::path(folder) / "meadowgauge.n_0.outs", std::ios::binary) << drains_text;
--- a/tests/hot_restart/takeover_test.cpp
+++ b/tests/hot_restart/takeover_test.cpp
@@ -1,5 +1,5 @@
-// Takeover at an upgrade as values: what one process decides as others start, serve and exit, in given and in
-// random schedules. No process is started.
+// Takeover at an upgrade as values: the actions of one process as others start, serve and exit, in given and
+// in random schedules. No process is started.
 #include "hot_restart/takeover.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace meadowgauge::hot_restart {
 namespace {
 
-// What a process did since its start.
+// The actions of a process since its start.
 struct History {
   int listened = 0;
   int handed_over = 0;
@@ -41,7 +41,7 @@
   EXPECT_EQ(actions.share, 1.0 / (1 + peers.total()));
 }
 
-// Each outcome that the table in docs/design/day-to-day.md states, and no step twice.
+// Each outcome in the table of docs/design/day-to-day.md, with no step twice.
 TEST(Takeovers, FollowTheTableOfTheDesign) {
   Takeover alone({}, 0);
   EXPECT_FALSE(alone.replaces_another());
@@ -98,7 +98,7 @@
         history.ended = true;
       }
       check(takeover.update(peers, rng() % 2 == 0, now_ms), peers, history);
-      EXPECT_EQ(takeover.broken_invariant(), "") << "seed " << seed << ", step " << step;
+      EXPECT_EQ(describe(takeover.broken_invariant()), "") << "seed " << seed << ", step " << step;
     }
   }
 }
