--- a/tests/fleet/fleet_limits_test.cpp
+++ b/tests/fleet/fleet_limits_test.cpp
@@ -1,38 +1,30 @@
 // Fleet-wide limits as values: all schedules of a small case (messages in any order, lost and duplicated,
-// crashes, expiries), long random schedules, and a hundred instances in simulated time. The checks compare
-// the admitted requests with the bound.
+// crashes, expiries) and long random schedules. The checks compare the admitted requests with the bound.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include <algorithm>
-#include <functional>
 #include <random>
 
-#include "fleet/config_agreement.hpp"
+#include "fixtures/fleet_terms.hpp"
 #include "fleet/shared_limits.hpp"
 
 namespace meadowgauge::fleet {
 namespace {
 
-LimitTerms terms(int instances, double rate, double burst) {
-  return {.limits = {{.name = "a/*", .tenant = 0, .rate = rate, .burst = burst}},
-          .lease_ms = 1000,
-          .instances = instances,
-          .share = 1.0 / instances};
-}
-
-constexpr ConfigAgreement all_agree{.all_agree = true, .live_member_differs = false};
-constexpr ConfigAgreement one_differs{.all_agree = false, .live_member_differs = true};
-constexpr ConfigAgreement one_unseen{.all_agree = false, .live_member_differs = false};
-
-PeerIndex peer(int i) { return static_cast<PeerIndex>(i); }
-int index(PeerIndex p) { return static_cast<int>(p); }
+using test::all_agree;
+using test::index_of;
+using test::one_differs;
+using test::one_unseen;
+using test::peer;
+using test::terms;
 
 struct Message {
   bool grant = false;
   int from = 0;
   int to = 0;
-  std::uint64_t from_incarnation = 0, to_incarnation = 0;
+  std::uint64_t from_incarnation = 0;
+  std::uint64_t to_incarnation = 0;
   double requested_at_ms = 0;  // by the requester's clock
   std::vector<Quota> quotas;
 };
@@ -42,32 +34,34 @@
 struct World {
   static constexpr double rate_per_s = 30;
   static constexpr double burst_requests = 24;
-  explicit World(int n) : at(static_cast<std::size_t>(n)) {
+  explicit World(int n) : instances(static_cast<std::size_t>(n)) {
     for (int i = 0; i < n; ++i) {
       incarnations.push_back(0);
       start(i);
     }
   }
-  [[nodiscard]] int count() const { return static_cast<int>(at.size()); }
+  [[nodiscard]] int count() const { return static_cast<int>(instances.size()); }
   void start(int i) {
-    at[static_cast<std::size_t>(i)] = {
+    instances[static_cast<std::size_t>(i)] = {
         SharedLimits(terms(count(), rate_per_s, burst_requests), 1, 1, clock(i))};
     ++incarnations[static_cast<std::size_t>(i)];
-    of(i).address_acquired(clock(i));
+    limits_of(i).address_acquired(clock(i));
     for (int p = 0; p < count(); ++p) offer(i, p);
   }
   void offer(int i, int p) {
-    if (p != i) of(i).set_offer(peer(p), {{.limit = 0, .rate = rate_per_s / static_cast<double>(at.size())}});
+    if (p != i)
+      limits_of(i).set_offer(peer(p),
+                             {{.limit = 0, .rate = rate_per_s / static_cast<double>(instances.size())}});
   }
-  SharedLimits& of(int i) { return at[static_cast<std::size_t>(i)].front(); }
+  SharedLimits& limits_of(int i) { return instances[static_cast<std::size_t>(i)].front(); }
   // The drift of two clocks together stays below what a lender allows for.
   [[nodiscard]] double clock(int i) const { return 1e6 * (i + 1) + now_ms * (1 + 0.004 * (i - 1)); }
   void request(int i) {
-    for (int k = 0; k < 8; ++k) of(i).quota(0).record_demand(clock(i));
-    for (const auto& request : of(i).lease_requests(clock(i)))
+    for (int k = 0; k < 8; ++k) limits_of(i).quota(0).record_demand(clock(i));
+    for (const auto& request : limits_of(i).lease_requests(clock(i)))
       send({.grant = false,
             .from = i,
-            .to = index(request.lender),
+            .to = index_of(request.lender),
             .from_incarnation = incarnations[static_cast<std::size_t>(i)],
             .requested_at_ms = clock(i),
             .quotas = request.quotas});
@@ -79,7 +73,7 @@
   // Keeps the message, so that a schedule can deliver it again and late.
   void deliver(std::size_t k) {
     auto m = sent[k];
-    auto& to = of(m.to);
+    auto& to = limits_of(m.to);
     if (!m.grant) {
       auto granted = to.grant(peer(m.from), m.from_incarnation, m.quotas, clock(m.to));
       if (!granted.empty())
@@ -95,10 +89,10 @@
   }
   void pass(double ms) {
     now_ms += ms;
-    for (int i = 0; i < count(); ++i) of(i).update_agreement(all_agree, clock(i));
+    for (int i = 0; i < count(); ++i) limits_of(i).update_agreement(all_agree, clock(i));
   }
   void take(int i) {
-    while (of(i).admit(0, 0, clock(i)) == 0) admit();
+    while (limits_of(i).admit(0, 0, clock(i)) == 0) admit();
   }
   // Counts against one token bucket of the whole fleet, which states the bound over any window.
   void admit() {
@@ -112,9 +106,9 @@
     double rates = 0;
     double tokens = 0;
     for (int i = 0; i < count(); ++i) {
-      rates += of(i).quota(0).available_rate(clock(i));
-      tokens += of(i).quota(0).tokens(clock(i));
-      if (auto broken = of(i).broken_invariant(clock(i))) return describe(broken);
+      rates += limits_of(i).quota(0).available_rate(clock(i));
+      tokens += limits_of(i).quota(0).tokens(clock(i));
+      if (auto broken = limits_of(i).broken_invariant(clock(i))) return describe(broken);
     }
     if (rates > rate_per_s * (1 + 1e-9)) return "rates add up to " + std::to_string(rates);
     if (tokens > burst_requests * (1 + 1e-9)) return "tokens add up to " + std::to_string(tokens);
@@ -122,7 +116,7 @@
     return {};
   }
 
-  std::vector<std::vector<SharedLimits>> at;
+  std::vector<std::vector<SharedLimits>> instances;
   std::vector<std::uint64_t> incarnations;
   std::vector<Message> sent;
   double now_ms = 0;
@@ -133,7 +127,7 @@
 
 // Takes the possible step number `k`. False: there are fewer steps.
 bool step(World& w, std::size_t k) {
-  auto n = w.at.size();
+  auto n = w.instances.size();
   if (k < n) return w.request(static_cast<int>(k)), true;
   k -= n;
   if (k < n) return w.start(static_cast<int>(k)), true;
@@ -158,7 +152,7 @@
       seen += explore(next, depth - 1, here, failure);
     } else {
       // At the end each instance uses all tokens that it holds.
-      for (int i = 0; i < static_cast<int>(next.at.size()); ++i) next.take(i);
+      for (int i = 0; i < static_cast<int>(next.instances.size()); ++i) next.take(i);
       if (broken = next.failure(); !broken.empty()) failure = broken.append(" after").append(here);
     }
   }
@@ -175,7 +169,7 @@
   seen += explore(w, 5, "own:", failure);
   w.request(0);
   for (std::size_t k = 0; k < 4; ++k) w.deliver(k);
-  ASSERT_GT(w.of(0).quota(0).borrowed(w.clock(0)), 5);
+  ASSERT_GT(w.limits_of(0).quota(0).borrowed(w.clock(0)), 5);
   seen += explore(w, 5, "borrowed:", failure);
   w.pass(480);
   seen += explore(w, 5, "half:", failure);
@@ -229,10 +223,10 @@
   auto late = w;
   late.now_ms += 1010;  // all instances are paused
   late.deliver(2);
-  EXPECT_EQ(late.of(0).quota(0).borrowed(late.clock(0)), 0);
+  EXPECT_EQ(late.limits_of(0).quota(0).borrowed(late.clock(0)), 0);
   w.start(0);
   w.deliver(2);
-  EXPECT_EQ(w.of(0).quota(0).borrowed(w.clock(0)), 0);
+  EXPECT_EQ(w.limits_of(0).quota(0).borrowed(w.clock(0)), 0);
 }
 
 TEST(FleetLimits, BrokenInvariantNamesItsValues) {
@@ -246,15 +240,15 @@
 TEST(FleetLimits, TwoIncarnationsOfOneNameBorrowSeparately) {
   World w(3);
   w.pass(1100);
-  double first = w.of(1).quota(0).grant(peer(0), 1, 6, w.clock(1));
-  double second = w.of(1).quota(0).grant(peer(0), 2, 6, w.clock(1));
+  double first = w.limits_of(1).quota(0).grant(peer(0), 1, 6, w.clock(1));
+  double second = w.limits_of(1).quota(0).grant(peer(0), 2, 6, w.clock(1));
   EXPECT_DOUBLE_EQ(first, 6);
-  EXPECT_LE(first + second + w.of(1).quota(0).available_rate(w.clock(1)), 10.0 + 1e-9);
+  EXPECT_LE(first + second + w.limits_of(1).quota(0).available_rate(w.clock(1)), 10.0 + 1e-9);
 }
 
 TEST(FleetLimits, QuarantinedInstanceOwnsNothingButMayBorrow) {
   World w(3);
-  EXPECT_GT(w.of(0).admit(0, 0, w.clock(0)), 0);
+  EXPECT_GT(w.limits_of(0).admit(0, 0, w.clock(0)), 0);
   w.pass(1100);
   w.start(0);
   w.request(0);
@@ -332,75 +326,5 @@
   for (int k = 0; k < 2000; ++k) EXPECT_LE(l.admit(0, 0, now_ms), LimitQuota::max_retry_after_ms);
 }
 
-// The admitted share of the limit in simulated time, with `demand` in requests a second by instance and ms.
-double admitted(int n, const std::function<double(int i, double t)>& demand, double from, double until,
-                double rate, double burst, const std::vector<double>& parts = {}) {
-  std::vector<SharedLimits> all;
-  double sum = 0;
-  for (double p : parts) sum += p;
-  for (int i = 0; i < n; ++i) {
-    auto t = terms(n, rate, burst);
-    if (!parts.empty()) t.share = parts[static_cast<std::size_t>(i)] / sum;
-    all.emplace_back(t, 1, 1, 0);
-    all.back().address_acquired(0);
-  }
-  std::minstd_rand rng(7);
-  std::vector<double> next(static_cast<std::size_t>(n), 0);
-  double bucket = burst;
-  double count = 0;
-  for (double t = 0; t < until; t += 1) {
-    bucket = std::min(burst, bucket + rate / 1000);
-    for (int i = 0; i < n; ++i) {
-      auto& l = all[static_cast<std::size_t>(i)];
-      double d = demand(i, t) / 1000;
-      std::poisson_distribution<int> come(d);
-      for (int k = d > 0 ? come(rng) : 0; k > 0; --k)
-        if (l.admit(0, 0, t) == 0) {
-          count += t >= from ? 1 : 0;
-          bucket -= 1;
-        }
-      if (static_cast<int>(t) % 200 == i % 200) {
-        l.update_agreement(all_agree, t);
-        for (int p = 0; p < n; ++p)
-          if (p != i) all[static_cast<std::size_t>(p)].set_offer(peer(i), l.lendable(t));
-      }
-      if (!(static_cast<int>(t) % 250 == i % 250 ||
-            (l.rejected_since_round() && static_cast<int>(t) % 50 == i % 50)))
-        continue;
-      for (const auto& request : l.lease_requests(t)) {
-        auto& lender = all[static_cast<std::size_t>(index(request.lender))];
-        l.accept_grant(request.lender, t, lender.grant(peer(i), 1, request.quotas, t), t);
-      }
-      EXPECT_EQ(describe(l.broken_invariant(t)), "");
-    }
-    EXPECT_GE(bucket, -1e-6) << "over the bound at " << t;
-    if (bucket < -1e-6) break;
-  }
-  return count / (until - from) * 1000 / rate;
-}
-
-TEST(FleetLimits, QuotasFollowTraffic) {
-  auto lopsided = [](int i, double) { return 840 * (i < 2 ? 0.35 : i < 4 ? 0.1 : 0.05); };
-  EXPECT_GT(admitted(6, lopsided, 2000, 8000, 300, 60), 0.95);
-  EXPECT_GT(admitted(
-                6, [](int i, double) { return i == 3 ? 840 : 0; }, 2000, 8000, 300, 60),
-            0.95);
-  // The clients of one zone move to another zone.
-  auto moves = [](int i, double t) { return (t < 4000 ? i < 2 : i > 3) ? 420 : 0; };
-  EXPECT_GT(admitted(6, moves, 6000, 10000, 300, 60), 0.95);
-  // All demand at one instance of 100; eight instances own most of the shares.
-  std::vector<double> parts(100, 1);
-  std::fill(parts.begin(), parts.begin() + 8, 1000);
-  EXPECT_GT(admitted(
-                100, [](int i, double) { return i == 77 ? 500 : 0; }, 2000, 4000, 300, 300, parts),
-            0.95);
-}
-
-TEST(FleetLimits, BelowTheLimitNothingIsRejected) {
-  // Demand is 240 of 300 a second, so a share of 0.79 admits all but a hundredth of it.
-  auto lopsided = [](int i, double) { return 240 * (i < 2 ? 0.35 : i < 4 ? 0.1 : 0.05); };
-  EXPECT_GT(admitted(6, lopsided, 2000, 12000, 300, 60), 0.79);
-}
-
 }  // namespace
 }  // namespace meadowgauge::fleet
--- a/tests/fleet/fleet_verdicts_test.cpp
+++ b/tests/fleet/fleet_verdicts_test.cpp
@@ -21,7 +21,7 @@
 }
 ServerObservation good(std::uint32_t server, double age_ms = 0) { return {server, false, age_ms, 0}; }
 
-TEST(FleetVerdicts, TwoFirstHandAccusersEjectAServer) {
+TEST(FleetVerdicts, TwoAccusersEjectAServer) {
   OutlierVerdicts v("a");
   EXPECT_TRUE(v.merge("b", {bad(3)}, 0.1, 1000));
   EXPECT_EQ(v.ejected(ten, all, 1000), Servers{});
