--- a/src/proxy/discovery/client.cpp
+++ b/src/proxy/discovery/client.cpp
@@ -5,7 +5,6 @@
 #include <algorithm>
 #include <cerrno>
 #include <charconv>
-#include <cstring>
 #include <utility>
 
 #include "protocol/http_writer.hpp"
@@ -21,9 +20,9 @@
 namespace {
 
 constexpr std::size_t max_list_bytes = protocol::WatchReader::max_list_bytes;
-// A complete list that comes slowly is not given up while it makes progress, up to this time.
+// Bounds a complete list that arrives slowly but makes progress.
 constexpr double max_complete_list_ms = 5000;
-// A line that can't be read again and again is asked for no more often than this.
+// Interval at which a line that stays unreadable is requested again.
 constexpr double repeated_reread_ms = 1500;
 
 double retry_after_ms(const Message& response) {
@@ -35,19 +34,18 @@
 
 }  // namespace
 
-DiscoveryClient::DiscoveryClient(transport::Loop& loop, transport::Pool& pool, DueTimes& due,
-                                 const double& now_ms, std::optional<transport::Address> agent,
+DiscoveryClient::DiscoveryClient(const Parts& parts, std::optional<transport::Address> agent,
                                  std::int64_t last_version, std::uint64_t seed, Logger log,
                                  const WatchTerms& terms)
-    : loop_(loop),
-      pool_(pool),
-      due_(due),
-      now_ms_(now_ms),
+    : loop_(parts.loop),
+      pool_(parts.pool),
+      due_times_(parts.due_times),
+      now_ms_(parts.now_ms),
       agent_(std::move(agent)),
       last_version_(last_version),
       log_(std::move(log)),
       pacing_(terms, seed),
-      response_(pool, Message::Kind::response, Message::Body::endless) {}
+      response_(parts.pool, Message::Kind::response, Message::Body::endless) {}
 
 DiscoveryClient::~DiscoveryClient() = default;
 
@@ -62,16 +60,16 @@
   close();
   clear_deadline();
   agent_ = std::move(agent);
-  // Its versions need not be those of the one before, nor tell of what left in between.
+  // The new agent may count other versions, and its watch may omit endpoints that have left meanwhile.
   call_ = pacing_.pushed() ? Call::complete_list : Call::watch;
   complete_list_at_ms_ = pacing_.pushed() ? DueTimes::none : now_ms_ + pacing_.complete_list_delay_ms();
-  pacing_.answered();
+  pacing_.record_success();
   connect();
 }
 
 void DiscoveryClient::deadline_reached() {
   clear_deadline();
-  if (stream_ && !reread_needed_) return fail("nothing heard for long");
+  if (state_ != State::disconnected && !reread_needed_) return fail(DiscoveryError::watch_timed_out);
   reconnect();
 }
 
@@ -80,19 +78,19 @@
 void DiscoveryClient::connect() {
   if (!agent_) return;
   auto fd = Stream::dial(*agent_);
-  if (!fd) return fail(std::strerror(errno));
+  if (!fd) return fail(DiscoveryError::connect_failed, {.system_error = errno});
   stream_ = std::make_unique<Stream>(loop_, pool_, std::move(fd), *this);
-  connected_ = false;
+  state_ = State::connecting;
   set_deadline_in(pacing_.answer_limit_ms());
 }
 
 void DiscoveryClient::ready(std::uint32_t events) {
-  if (!connected_ && !connected(events)) return;
-  if (!stream_->flush()) return fail("the connection broke");
+  if (state_ != State::receiving && !connected(events)) return;
+  if (!stream_->flush()) return fail(DiscoveryError::connection_broken);
   while (true) {
     auto got = stream_->fill();
     if (got == Stream::Got::nothing) return;
-    if (got != Stream::Got::bytes) return fail("the connection ended");
+    if (got != Stream::Got::bytes) return fail(DiscoveryError::connection_closed);
     if (!response_received()) return;
   }
 }
@@ -100,12 +98,12 @@
 bool DiscoveryClient::connected(std::uint32_t events) {
   if (!(events & (EPOLLOUT | EPOLLERR | EPOLLHUP))) return false;
   if (int error = stream_->dial_error()) {
-    fail(std::strerror(error));
+    fail(DiscoveryError::connect_failed, {.system_error = error});
     return false;
   }
-  connected_ = true;
+  state_ = State::receiving;
   if (send_request()) return true;
-  fail("out of buffers");
+  fail(DiscoveryError::buffers_exhausted);
   return false;
 }
 
@@ -125,25 +123,27 @@
   bool head_is_new = !response_.head_complete();
   stream_->consume(response_.feed(stream_->bytes()));
   if (response_.fault() != protocol::Fault::none) {
-    fail("the answer makes no sense");
+    fail(DiscoveryError::malformed_response);
     return false;
   }
   if (!response_.head_complete()) return true;
   if (response_.status() != 200) {
-    fail(std::string("status ").append(std::to_string(response_.status())), retry_after_ms(response_));
+    fail(DiscoveryError::unexpected_status,
+         {.status = response_.status(), .retry_after_ms = retry_after_ms(response_)});
     return false;
   }
   if (!body_received(head_is_new)) return false;
   return !response_.complete() || response_ended();
 }
 
-// A head or a complete line is a sign of life; bytes alone kept a watch up that never ended a line.
+// Only a head or a complete line extends the watch's deadline: an agent that never ends a line is
+// unresponsive.
 bool DiscoveryClient::body_received(bool head_is_new) {
   if (call_ == Call::complete_list) {
     complete_list_ += response_.extract_body();
     set_deadline_in(std::min(pacing_.answer_limit_ms(), called_at_ms_ + max_complete_list_ms - now_ms_));
     if (complete_list_.size() <= max_list_bytes) return true;
-    fail("the list is too long");
+    fail(DiscoveryError::list_too_long);
     return false;
   }
   if (head_is_new) set_deadline_in(pacing_.silence_limit_ms());
@@ -154,16 +154,16 @@
   return false;
 }
 
-// The complete list has come, and the watch goes on from it; a watch does not end.
+// After the complete list the watch continues from its version. A watch's response has no regular end.
 bool DiscoveryClient::response_ended() {
   if (call_ == Call::watch) {
-    fail("the watch ended");
+    fail(DiscoveryError::watch_ended);
     return false;
   }
   auto parsed = protocol::parse_endpoint_list(complete_list_);
-  if (auto* wrong = std::get_if<protocol::UnreadableEndpointList>(&parsed)) {
-    unreadable(wrong->reason);
-    fail("no list came");
+  if (auto* unreadable = std::get_if<protocol::UnreadableEndpointList>(&parsed)) {
+    request_reread(unreadable->reason);
+    fail(DiscoveryError::malformed_list);
     return false;
   }
   auto& list = std::get<protocol::EndpointList>(parsed);
@@ -176,17 +176,17 @@
     return false;
   }
   if (send_request() && stream_->flush()) return true;
-  fail("the connection broke");
+  fail(DiscoveryError::connection_broken);
   return false;
 }
 
-// --- What a watch tells ----------------------------------------------------------------------------------
+// --- Watch events ----------------------------------------------------------------------------------------
 
 void DiscoveryClient::watch_event(protocol::WatchEvent&& event) {
   if (auto* list = std::get_if<protocol::EndpointList>(&event))
     list_received(std::move(*list));
-  else if (auto* wrong = std::get_if<protocol::UnreadableEndpointList>(&event))
-    unreadable(wrong->reason);
+  else if (auto* unreadable = std::get_if<protocol::UnreadableEndpointList>(&event))
+    request_reread(unreadable->reason);
   else if (std::holds_alternative<protocol::EndpointListIncomplete>(event))
     set_deadline_in(pacing_.reread_limit_ms());
   else if (!reread_needed_)
@@ -194,12 +194,13 @@
 }
 
 void DiscoveryClient::list_received(protocol::EndpointList&& list) {
-  for (const auto& wrong : list.skipped) log_(Level::warning, "discovery: skipped: " + wrong);
-  pacing_.answered();
+  for (const auto& reason : list.skipped) log_skipped_entry(list.seq, reason);
+  pacing_.record_success();
   renew_at_ms_ = now_ms_ + pacing_.silence_limit_ms();
-  // Lower than what was asked for: the agent's versions are not those of the one before.
-  bool moved = complete_list_at_ms_ < DueTimes::none;
-  if (call_ == Call::watch && moved && list.seq < last_version_) complete_list_at_ms_ = now_ms_;
+  // A version below the requested one shows that the new agent counts its own versions.
+  bool complete_list_pending = complete_list_at_ms_ < DueTimes::none;
+  if (call_ == Call::watch && complete_list_pending && list.seq < last_version_)
+    complete_list_at_ms_ = now_ms_;
   if (!reread_needed_) {
     if (list.seq != last_version_) rereads_ = 0;
     last_version_ = list.seq;
@@ -207,33 +208,39 @@
   updates_.emplace_back(std::move(list));
 }
 
-// What it told is asked for again, from the last line that could be read. It may have been a drain, which
-// binds soon; but an agent that tells nothing else would be asked without end.
-void DiscoveryClient::unreadable(const std::string& reason) {
+// The unreadable line may hold a drain, so the watch is reopened from the last readable version. Repeats are
+// rate-limited, because the agent may send the same line each time.
+void DiscoveryClient::request_reread(const std::string& reason) {
   if (call_ == Call::watch && !reread_needed_)
     set_deadline_in(rereads_++ == 0 ? pacing_.reread_limit_ms() : repeated_reread_ms);
   reread_needed_ = true;
-  log_(Level::warning, "discovery: a line is skipped: " + reason);
+  std::string call = call_ == Call::watch ? "watch" : "complete list";
+  log_(Level::warning,
+       "discovery " + call + " unreadable after version " + std::to_string(last_version_) + ": " + reason,
+       {{"call", std::string_view(call)},
+        {"version", static_cast<double>(last_version_)},
+        {"reason", std::string_view(reason)}});
 }
 
-// A watch that is alive ends here for the complete list, or, where lists are pushed, when it told nothing for
-// as long as a silent one is given: it is taken up anew from the last version, as what the agent has binds.
+// Ends a live watch for the complete list. A pushed watch without a new list for the silence limit is
+// reopened too, because a drain binds as soon as the agent knows of it.
 bool DiscoveryClient::renewal_due() const {
   return complete_list_due() || (pacing_.pushed() && now_ms_ >= renew_at_ms_);
 }
 
-// --- Deadlines and ends ----------------------------------------------------------------------------------
+// --- Deadlines and failures ------------------------------------------------------------------------------
 
 void DiscoveryClient::set_deadline_in(double ms) {
-  due_.set(due_key(due_kind, 0), deadline_ms_, now_ms_ + ms);
+  due_times_.set(due_key(due_kind, 0), deadline_ms_, now_ms_ + ms);
 }
 
-void DiscoveryClient::clear_deadline() { due_.set(due_key(due_kind, 0), deadline_ms_, DueTimes::none); }
+void DiscoveryClient::clear_deadline() { due_times_.set(due_key(due_kind, 0), deadline_ms_, DueTimes::none); }
 
 void DiscoveryClient::close() {
   if (!stream_) return;
   stream_->close();
   closed_.push_back(std::move(stream_));
+  state_ = State::disconnected;
 }
 
 void DiscoveryClient::reconnect() {
@@ -241,16 +248,33 @@
   connect();
 }
 
-void DiscoveryClient::fail(std::string_view reason, double retry_after_ms) {
-  log_(pacing_.failed_before() ? Level::debug : Level::info, std::string("discovery: ").append(reason));
+void DiscoveryClient::fail(DiscoveryError error, const DiscoveryErrorDetail& detail) {
+  log_failure(error, detail);
   close();
-  // Changes are not held up by a complete list that can't be had for now.
+  // A complete list that fails must not delay the watch on changes.
   if (call_ == Call::complete_list && !pacing_.pushed()) {
     call_ = Call::watch;
     complete_list_at_ms_ = now_ms_ + pacing_.complete_list_delay_ms();
   }
-  set_deadline_in(pacing_.backoff_ms(retry_after_ms));
+  set_deadline_in(pacing_.backoff_ms(detail.retry_after_ms));
   updates_.emplace_back(WatchFailed{});
 }
 
+// Only the first failure in a row is logged at info.
+void DiscoveryClient::log_failure(DiscoveryError error, const DiscoveryErrorDetail& detail) const {
+  Level level = pacing_.failed_before() ? Level::debug : Level::info;
+  if (!log_.wants(level)) return;
+  auto message = message_of(error, detail);
+  log_(level, message,
+       {{"agent", std::string_view(agent_->text())},
+        {"version", static_cast<double>(last_version_)},
+        {"system_error", static_cast<double>(detail.system_error)},
+        {"status", static_cast<double>(detail.status)}});
+}
+
+void DiscoveryClient::log_skipped_entry(std::int64_t version, const std::string& reason) const {
+  log_(Level::warning, "discovery list " + std::to_string(version) + ": entry skipped: " + reason,
+       {{"version", static_cast<double>(version)}, {"reason", std::string_view(reason)}});
+}
+
 }  // namespace meadowgauge::proxy
--- a/src/proxy/discovery/client.hpp
+++ b/src/proxy/discovery/client.hpp
@@ -1,18 +1,18 @@
-// The client of discovery: watches the endpoint list and keeps the watch up. The list in use stays valid
-// while nothing is received.
+// The discovery client: watches the endpoint list and reopens a watch that fails. The last list stays in use
+// meanwhile.
 #pragma once
 
 #include <cstdint>
 #include <memory>
 #include <optional>
 #include <string>
-#include <string_view>
 #include <variant>
 #include <vector>
 
 #include "protocol/endpoint_list.hpp"
 #include "protocol/http.hpp"
 #include "protocol/watch_reader.hpp"
+#include "proxy/discovery/error.hpp"
 #include "proxy/discovery/watch_pacing.hpp"
 #include "proxy/logger.hpp"
 #include "transport/due_times.hpp"
@@ -20,54 +20,66 @@
 
 namespace meadowgauge::proxy {
 
-// A call failed, was refused or given up, or the watch ended.
+// A call failed, was refused or timed out, or the watch ended.
 struct WatchFailed {};
 using DiscoveryUpdate = std::variant<protocol::EndpointList, WatchFailed>;
 
-// One call at a time, on one connection: the complete list, or the watch on changes. All references have to
-// outlive it; times are in milliseconds.
+// Makes one call at a time on one connection: for the complete list, or for the watch on changes. Times are
+// in milliseconds.
 class DiscoveryClient final : public transport::Ready {
  public:
   static constexpr std::uint8_t due_kind = 3;
 
-  // `now` is the clock reading of the loop's turn. `agent`: where discovery is called; none: it does nothing.
+  // All of these outlive the client.
+  struct Parts {
+    transport::Loop& loop;
+    transport::Pool& pool;
+    transport::DueTimes& due_times;
+    const double& now_ms;  // the clock reading of the loop's turn
+  };
+
+  // `agent`: discovery's address; without one the client is inactive.
   // `last_version`: of the list that the process starts with.
-  DiscoveryClient(transport::Loop& loop, transport::Pool& pool, transport::DueTimes& due,
-                  const double& now_ms, std::optional<transport::Address> agent, std::int64_t last_version,
+  DiscoveryClient(const Parts& parts, std::optional<transport::Address> agent, std::int64_t last_version,
                   std::uint64_t seed, Logger log, const WatchTerms& terms);
   ~DiscoveryClient();
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  // Opens the watch of a new process, at once or spread over a large fleet that polls.
+  // Opens the first watch: at once, or after a random delay in a large fleet that polls.
   void start();
-  // Watches that agent from now on; none: watches nothing. Its complete list is fetched first where lists are
-  // pushed. Where they are polled the watch goes on from the last version, and the complete list follows when
-  // the fleet's calls for it are spread, or at once if the agent's versions turn out to be others.
+  // Moves the watch to `agent`, or stops it without one. A pushed agent's complete list is fetched first. A
+  // polled watch continues from the last version; the complete list follows after a random delay, or at once
+  // if the agent's versions are lower.
   void set_agent(std::optional<transport::Address> agent);
-  // The time that it registered with `due` has come.
+  // To be called at the time that the client has registered in `due_times`.
   void deadline_reached();
   // Destroys connections that were closed in this turn of the loop.
   void destroy_closed() { closed_.clear(); }
 
-  // What has been received since the caller last emptied it, in order.
+  // Updates in order of arrival; the caller empties the list.
   [[nodiscard]] std::vector<DiscoveryUpdate>& updates() { return updates_; }
 
  private:
   enum class Call : std::uint8_t { complete_list, watch };
+  enum class State : std::uint8_t {
+    disconnected,  // the deadline is that of the next call
+    connecting,
+    receiving,  // the request is sent; the deadline is that of the agent's next line
+  };
 
   void ready(std::uint32_t events) override;
   void connect();
   bool connected(std::uint32_t events);
   bool send_request();
-  // False, as for the next three: this connection is done with.
+  // This and the next two return false once the connection is closed or replaced.
   bool response_received();
   bool body_received(bool head_is_new);
   bool response_ended();
 
   void watch_event(protocol::WatchEvent&& event);
   void list_received(protocol::EndpointList&& list);
-  void unreadable(const std::string& reason);
+  void request_reread(const std::string& reason);
   [[nodiscard]] bool complete_list_due() const { return now_ms_ >= complete_list_at_ms_; }
   [[nodiscard]] bool renewal_due() const;
 
@@ -75,11 +87,13 @@
   void clear_deadline();
   void close();
   void reconnect();
-  void fail(std::string_view reason, double retry_after_ms = 0);
+  void fail(DiscoveryError error, const DiscoveryErrorDetail& detail = {});
+  void log_failure(DiscoveryError error, const DiscoveryErrorDetail& detail) const;
+  void log_skipped_entry(std::int64_t version, const std::string& reason) const;
 
   transport::Loop& loop_;
   transport::Pool& pool_;
-  transport::DueTimes& due_;
+  transport::DueTimes& due_times_;
   const double& now_ms_;
   std::optional<transport::Address> agent_;
   std::int64_t last_version_;
@@ -88,18 +102,18 @@
 
   std::unique_ptr<transport::Stream> stream_;
   std::vector<std::unique_ptr<transport::Stream>> closed_;
-  bool connected_ = false;
+  State state_ = State::disconnected;
   Call call_ = Call::watch;  // in progress, or the next one
 
   protocol::Message response_;
-  std::string complete_list_;  // as far as it has come
+  std::string complete_list_;  // the part received so far
   protocol::WatchReader watch_reader_;
-  bool reread_needed_ = false;  // something of this watch could not be read
-  int rereads_ = 0;             // in a row, from the same version
+  bool reread_needed_ = false;  // the last call received an unreadable line
+  int rereads_ = 0;             // consecutive, from the same version
   double called_at_ms_ = 0;
-  double renew_at_ms_ = 0;                                  // this watch, unless it tells a change before
-  double complete_list_at_ms_ = transport::DueTimes::none;  // the watch is interrupted for it then
-  double deadline_ms_ = transport::DueTimes::none;  // of a sign of life while connected, or the next call
+  double renew_at_ms_ = 0;                                  // reopens a pushed watch; postponed by each list
+  double complete_list_at_ms_ = transport::DueTimes::none;  // interrupts the watch for the complete list
+  double deadline_ms_ = transport::DueTimes::none;
   std::vector<DiscoveryUpdate> updates_;
 };
 
--- a/src/proxy/discovery/watch_pacing.hpp
+++ b/src/proxy/discovery/watch_pacing.hpp
@@ -1,5 +1,5 @@
-// When the watch on discovery is given up, and when discovery is called again. Values only: no I/O, and no
-// clock; times are durations in milliseconds.
+// Timeouts of the watch on discovery and backoff between calls. Does no I/O and reads no clock; times are
+// durations in milliseconds.
 #pragma once
 
 #include <cstdint>
@@ -11,56 +11,55 @@
 
 namespace meadowgauge::proxy {
 
-// What the pacing follows, from the settings.
+// The settings that pacing depends on.
 struct WatchTerms {
-  // Lists are pushed: the grace of a drain, which binds as soon as the local agent knows of it. None where
-  // lists are polled: calls then use up a discovery that all balancers share.
+  // Set where a local agent pushes lists: the grace of a drain, counted from the agent's knowledge of it.
+  // Absent where balancers poll one shared discovery.
   std::optional<double> push_grace_ms;
-  // Balancers that call the same discovery, as far as this one can tell: calls are spread over so many.
+  // Estimated number of balancers that call the same discovery; their calls are spread.
   double instances = 1;
 };
 
-// Where lists are polled, a tier of few balancers has more of its traffic at each, which makes what one does
-// not know the worse: it calls the sooner, as each tier has an equal part of the calls.
+// Each tier gets an equal part of the polled calls: a balancer of a small tier carries more traffic, so it
+// calls more often.
 WatchTerms watch_terms(const Settings& settings, const Logger& log);
 
-// One for each watch. Deterministic for a seed.
+// Paces one watch. Deterministic for a seed.
 class WatchPacing {
  public:
   WatchPacing(const WatchTerms& terms, std::uint64_t seed);
 
-  // A call without the first bytes of its answer, or without progress of a complete list, is given up after
-  // this.
+  // Timeout of a call without a response head, or of a complete list without progress.
   [[nodiscard]] double answer_limit_ms() const;
-  // A watch without a sign of life is given up after this; drawn anew each time, so that watches which fall
-  // silent at one moment are not taken up in step.
+  // Timeout of a watch without a line. Randomized per draw, so that a fleet does not reconnect in step.
   double silence_limit_ms();
-  // What may tell of a drain, and could not be read, is asked for again after this.
+  // Delay before an unreadable line, which may hold a drain, is requested again.
   double reread_limit_ms();
-  // A new process calls first after this: many start in one step, and the list that they start with serves.
+  // Delay of a new process's first call. Many start together, and the configured list serves until then.
   double first_call_ms();
-  // A call was refused, failed or given up, or the watch ended: the next call comes this much later.
-  // `retry_after_ms`: what the refusal asked for, 0 for none.
+  // Records a failed call and returns the delay before the next one.
+  // `retry_after_ms`: requested by the agent, 0 for none.
   double backoff_ms(double retry_after_ms = 0);
-  // After a move to another discovery its complete list is fetched this much later, and the changes since the
-  // last version until then: 0 where lists are pushed.
+  // Delay of the complete list after a move to another discovery; 0 where lists are pushed.
   double complete_list_delay_ms();
-  // Discovery told something.
-  void answered() { failures_ = 0; }
+  // An endpoint list was received, or the agent is new.
+  void record_success() { failures_ = 0; }
 
   [[nodiscard]] bool failed_before() const { return failures_ > 0; }
   [[nodiscard]] bool pushed() const { return terms_.push_grace_ms.has_value(); }
-  // `ms` less a part drawn from `spread`.
+  // `ms` reduced by a random part of at most `share`.
   double spread(double ms, double share);
 
  private:
-  [[nodiscard]] double urgent_ms() const;
-  [[nodiscard]] double fleet_ms() const;
-  double chance();
+  // Delay within which a possible drain has to be requested again.
+  [[nodiscard]] double drain_poll_ms() const;
+  // The time over which the fleet's calls are spread.
+  [[nodiscard]] double fleet_spread_ms() const;
+  double random_fraction();  // 0 to 1
 
   WatchTerms terms_;
   std::minstd_rand random_;
-  int failures_ = 0;  // in a row
+  int failures_ = 0;  // consecutive
 };
 
 }  // namespace meadowgauge::proxy
--- a/tests/proxy/discovery/watch_pacing_test.cpp
+++ b/tests/proxy/discovery/watch_pacing_test.cpp
@@ -1,5 +1,4 @@
-// How balancers that poll one discovery call it, in simulated time: many of them, a discovery of fixed
-// capacity, an outage.
+// A fleet that polls one discovery of fixed capacity through an outage, in simulated time.
 #include "proxy/discovery/watch_pacing.hpp"
 
 #include <gtest/gtest.h>
@@ -12,36 +11,42 @@
 namespace meadowgauge::proxy {
 namespace {
 
-// Takes one call after the other and is silent while it is out; a call without an answer for so long fails.
-// What has failed for its time is worked on all the same.
+struct CallResult {
+  double done_ms = 0;  // of the answer, or of the failure
+  bool answered = false;
+};
+
+// Serves calls in order and is silent during the outage. It still works on calls that have timed out.
 struct PolledDiscovery {
-  static constexpr double time_out_ms = 2000, longest_queue_ms = 4000;
-  double call_ms = 0, out_from = 0, out_until = 0;
+  static constexpr double timeout_ms = 2000;
+  static constexpr double max_queue_ms = 4000;
+  double call_ms = 0;
+  double outage_start_ms = 0;
+  double outage_end_ms = 0;
   double free_at_ms = 0;
-  int wasted = 0;
+  int wasted_calls = 0;
 
-  // When the answer comes, if it is one; or when the call fails.
-  std::pair<double, bool> call(double at, double given_up_after) {
-    double limit = std::min(time_out_ms, given_up_after);
-    if (at >= out_from && at < out_until) return {at + limit, false};
-    if (free_at_ms - at > longest_queue_ms) return {at, false};
-    free_at_ms = std::max(free_at_ms, at) + call_ms;
-    if (free_at_ms - at <= limit) return {free_at_ms, true};
-    ++wasted;
-    return {at + limit, false};
+  CallResult call(double now_ms, double answer_limit_ms) {
+    double limit_ms = std::min(timeout_ms, answer_limit_ms);
+    if (now_ms >= outage_start_ms && now_ms < outage_end_ms) return {now_ms + limit_ms, false};
+    if (free_at_ms - now_ms > max_queue_ms) return {now_ms, false};
+    free_at_ms = std::max(free_at_ms, now_ms) + call_ms;
+    if (free_at_ms - now_ms <= limit_ms) return {free_at_ms, true};
+    ++wasted_calls;
+    return {now_ms + limit_ms, false};
   }
 };
 
 struct Call {
-  double at;
-  int who;
-  bool operator>(const Call& other) const { return at > other.at; }
+  double at_ms;
+  int balancer;
+  bool operator>(const Call& other) const { return at_ms > other.at_ms; }
 };
 
-// The fleet's watches break as discovery fails; the last of them is up again so long after its return.
+// All watches break when the outage begins. Returns the time from its end until the last watch is open again.
 double recovery_ms(int instances, double call_ms, double outage_ms, std::uint64_t seed,
-                   int* wasted = nullptr) {
-  PolledDiscovery discovery{.call_ms = call_ms, .out_from = 0, .out_until = outage_ms};
+                   int* wasted_calls = nullptr) {
+  PolledDiscovery discovery{.call_ms = call_ms, .outage_start_ms = 0, .outage_end_ms = outage_ms};
   std::vector<WatchPacing> fleet;
   std::priority_queue<Call, std::vector<Call>, std::greater<>> calls;
   for (int i = 0; i < instances; ++i) {
@@ -49,41 +54,39 @@
                        seed * 1000 + static_cast<std::uint64_t>(i));
     calls.push({fleet.back().backoff_ms(), i});
   }
-  double last = 0;
+  double last_answer_ms = 0;
   while (!calls.empty()) {
-    auto [at, who] = calls.top();
+    auto [at_ms, balancer] = calls.top();
     calls.pop();
-    if (at > outage_ms + 60000) return at - outage_ms;  // never again
-    auto& pacing = fleet[static_cast<std::size_t>(who)];
-    auto [done, answered] = discovery.call(at, pacing.answer_limit_ms());
+    if (at_ms > outage_ms + 60000) return at_ms - outage_ms;  // no recovery
+    auto& pacing = fleet[static_cast<std::size_t>(balancer)];
+    auto [done_ms, answered] = discovery.call(at_ms, pacing.answer_limit_ms());
     if (answered)
-      last = std::max(last, done);
+      last_answer_ms = std::max(last_answer_ms, done_ms);
     else
-      calls.push({done + pacing.backoff_ms(), who});
+      calls.push({done_ms + pacing.backoff_ms(), balancer});
   }
-  if (wasted) *wasted = discovery.wasted;
-  return last - outage_ms;
+  if (wasted_calls) *wasted_calls = discovery.wasted_calls;
+  return last_answer_ms - outage_ms;
 }
 
 constexpr double change_binds_ms = 6000;
 
-// A fleet that called again soon after each failure kept a queue of calls which nobody waited for any more,
-// and had no answer long after the outage. 350 calls take 4.2 s here, of the 6 s in which a change has to be
-// known.
-TEST(WatchPacing, AFleetThatPollsIsBackWithinSixSecondsOfAnOutage) {
+// Calls that time out in discovery's queue must not delay recovery. 350 calls take 4.2 s here, of the 6 s in
+// which a change must be known.
+TEST(WatchPacing, PollingFleetRecoversWithinSixSeconds) {
   for (int instances : {1, 3, 30, 100, 350})
     for (double outage_ms = 2000; outage_ms <= 12000; outage_ms += 500)
       for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        int wasted = 0;
-        EXPECT_LT(recovery_ms(instances, 12, outage_ms, seed, &wasted), change_binds_ms)
+        int wasted_calls = 0;
+        EXPECT_LT(recovery_ms(instances, 12, outage_ms, seed, &wasted_calls), change_binds_ms)
             << instances << " instances, out for " << outage_ms << " ms, seed " << seed;
-        EXPECT_EQ(wasted, 0);
+        EXPECT_EQ(wasted_calls, 0);
       }
 }
 
-// Beyond what discovery bears in 6 s the fleet is late by that, and no later: it gets out of the overload by
-// itself.
-TEST(WatchPacing, ALargerFleetThanDiscoveryBearsRecoversAllTheSame) {
+// A fleet above discovery's capacity misses the 6 s, but leaves the overload by itself.
+TEST(WatchPacing, FleetAboveDiscoveryCapacityRecovers) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     constexpr int instances = 700;
     constexpr double call_ms = 20;
@@ -91,8 +94,8 @@
   }
 }
 
-// The longest a change can stay unknown: a call begun before the return, the longest backoff, an answer.
-TEST(WatchPacing, NoBackoffIsLongerThanAChangeCanWait) {
+// A change is unknown for at most the rest of an unanswered call, one backoff and an answer.
+TEST(WatchPacing, BackoffStaysBelowTheBoundForChanges) {
   for (double instances : {1.0, 30.0, 350.0, 100000.0}) {
     WatchPacing pacing({.push_grace_ms = {}, .instances = instances}, 1);
     for (int i = 0; i < 5; ++i) {
@@ -103,9 +106,9 @@
   }
 }
 
-// One configuration moves a whole fleet: discovery spends half of its time at most on complete lists,
-// whatever the size of the fleet, and a few balancers have theirs soon.
-TEST(WatchPacing, CompleteListsAfterAMoveAreSpreadOverTheFleet) {
+// A reload moves a whole fleet at once: discovery spends at most half of its time on complete lists, for any
+// fleet size, and a small fleet gets them within a second or so.
+TEST(WatchPacing, CompleteListsAfterAMoveAreSpread) {
   constexpr double complete_list_ms = 200;
   for (int instances : {1, 3, 30, 350}) {
     std::vector<double> fetched_at;
@@ -117,19 +120,19 @@
     std::sort(fetched_at.begin(), fetched_at.end());
     EXPECT_GT(fetched_at.front(), 0);
     EXPECT_LE(fetched_at.back(), 400.0 * instances);
-    constexpr int in_a_row = 30;
-    for (std::size_t i = in_a_row; i < fetched_at.size(); ++i)
-      EXPECT_GT(fetched_at[i] - fetched_at[i - in_a_row], in_a_row * complete_list_ms / 4);
+    constexpr int window_calls = 30;
+    for (std::size_t i = window_calls; i < fetched_at.size(); ++i)
+      EXPECT_GT(fetched_at[i] - fetched_at[i - window_calls], window_calls * complete_list_ms / 4);
   }
   WatchPacing pushed({.push_grace_ms = 200, .instances = 350}, 1);
   EXPECT_EQ(pushed.complete_list_delay_ms(), 0);
 }
 
-// A few balancers wait no longer than they did; with pushed lists nothing depends on the fleet.
-TEST(WatchPacing, AFewCallAtOnceAndPushedListsAreAskedForWithinTheGrace) {
-  WatchPacing few({.push_grace_ms = {}, .instances = 3}, 1);
-  EXPECT_EQ(few.first_call_ms(), 0);
-  EXPECT_LE(few.backoff_ms(), 125);
+// A small fleet calls at once. The pacing of pushed lists is independent of the fleet's size.
+TEST(WatchPacing, SmallFleetsAndPushedListsCallWithoutDelay) {
+  WatchPacing small_fleet({.push_grace_ms = {}, .instances = 3}, 1);
+  EXPECT_EQ(small_fleet.first_call_ms(), 0);
+  EXPECT_LE(small_fleet.backoff_ms(), 125);
   WatchPacing pushed({.push_grace_ms = 200, .instances = 350}, 1);
   EXPECT_EQ(pushed.first_call_ms(), 0);
   for (int i = 0; i < 50; ++i) EXPECT_LE(pushed.backoff_ms(), 0.25 * 200 * 1.25);
