--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -134,7 +134,7 @@
   if (now_ms_ < sweep_at_ms_) return;
   sweep_at_ms_ = now_ms_ + sweep_every_ms;
   upstreams_.reclaim_indices([this](EndpointIndex endpoint) { return requests_.has_attempted(endpoint); });
-  endpoints_.forget_departed();
+  endpoints_.evict_unlisted_drains();
   pool_.trim();
 }
 
@@ -181,7 +181,7 @@
   if (setup.settings != settings_) log_(Level::info, "changed settings hold from the next start on");
   discovery_.set_agent(setup.discovery);
   if (setup.discovery)
-    endpoints_.begin_anew();
+    endpoints_.discovery_changed();
   else
     endpoints_.replace(setup.known, now_ms_);
   requests_.endpoints_updated();
--- a/src/proxy/endpoint/directory.cpp
+++ b/src/proxy/endpoint/directory.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::uint32_t server_id_mask = 0xffffff;
 
-// Its place in the list; -1 where it is not in it.
+// The index of `name`; -1 if absent.
 int position_in(const std::vector<std::string>& names, std::string_view name) {
   auto it = std::find(names.begin(), names.end(), name);
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
@@ -23,27 +23,40 @@
 }  // namespace
 
 void EndpointDirectory::use_cached(const EndpointList& cached, double now_ms) {
-  apply(EndpointListUpdate::cached, registry_.take(cached, now_ms), now_ms);
+  apply(EndpointListUpdate::cached, registry_.merge(cached, now_ms), now_ms);
 }
 
 void EndpointDirectory::receive(EndpointList update, double now_ms) {
-  auto version = update.seq, newest = registry_.newest();
-  auto changes = registry_.take(std::move(update), now_ms);
-  if (version < newest && changes.full)
-    log_(Level::warning, "discovery: only older lists for long, its versions began anew");
-  else if (version < newest)
-    log_(Level::info, "discovery: list " + std::to_string(version) + " is older than " +
-                          std::to_string(newest) + ", which was heard before");
+  const auto version = update.seq;
+  const auto newest_version = registry_.newest_version();
+  auto changes = registry_.merge(std::move(update), now_ms);
+  if (version < newest_version) log_late_list(version, newest_version, changes);
   apply(changes.full ? EndpointListUpdate::full : EndpointListUpdate::delta, changes, now_ms);
 }
 
+void EndpointDirectory::log_late_list(std::int64_t version, std::int64_t newest_version,
+                                      const EndpointList& changes) const {
+  std::initializer_list<LogField> fields = {{"version", static_cast<double>(version)},
+                                            {"newest_version", static_cast<double>(newest_version)},
+                                            {"entries", static_cast<double>(changes.hosts.size())}};
+  if (changes.full)
+    log_(Level::warning,
+         "discovery versions restarted: " + std::to_string(newest_version) + " -> " + std::to_string(version),
+         fields);
+  else
+    log_(Level::info,
+         "discovery list " + std::to_string(version) + " is older than " + std::to_string(newest_version) +
+             ": " + std::to_string(changes.hosts.size()) + " entries applied",
+         fields);
+}
+
 void EndpointDirectory::watch_failed(double now_ms) {
   policy_.update_endpoints(EndpointListUpdate::failed, {}, now_ms);
 }
 
 void EndpointDirectory::replace(const EndpointList& configured, double now_ms) {
   registry_ = EndpointRegistry();
-  apply(EndpointListUpdate::full, registry_.take(configured, now_ms), now_ms);
+  apply(EndpointListUpdate::full, registry_.merge(configured, now_ms), now_ms);
 }
 
 void EndpointDirectory::apply(EndpointListUpdate kind, const EndpointList& list, double now_ms) {
@@ -55,9 +68,9 @@
       if (!seen[i]) upstreams_.remove(static_cast<EndpointIndex>(i));
   policy_.update_endpoints(kind, entries_, now_ms);
   log_(Level::debug,
-       std::string("list ").append(std::to_string(list.seq)).append(", entries: ") +
+       std::string("endpoint list ").append(std::to_string(list.seq)).append(" applied, entries: ") +
            std::to_string(entries_.size()),
-       {{"list", static_cast<double>(list.seq)}, {"entries", static_cast<double>(entries_.size())}});
+       {{"version", static_cast<double>(list.seq)}, {"entries", static_cast<double>(entries_.size())}});
 }
 
 void EndpointDirectory::apply(const EndpointListEntry& listed, std::vector<bool>& seen) {
@@ -76,7 +89,7 @@
   entries_.push_back({.endpoint = endpoint,
                       .zone = position_in(settings_.zones, listed.zone),
                       .server_kind = position_in(settings_.server_kinds, listed.kind),
-                      // Without one it shares its block with nobody.
+                      // A server without a block gets one of its own.
                       .cell = listed.block >= 0 ? listed.block : -1 - static_cast<int>(endpoint),
                       .state = active ? EndpointState::ready : EndpointState::draining,
                       .weight = listed.weight,
@@ -85,8 +98,8 @@
                       .id = server_id(endpoint)});
 }
 
-// An address has one process: under a new name the one before is gone, though the list may say so later. Sent
-// on to the old name, its requests would have met the new one before it has warmed up.
+// One process serves an address, so a later start under a new name replaces the server of the old name, even
+// before a list removes it. Requests to the old name would reach the new process before its slow start.
 bool EndpointDirectory::has_departed(const EndpointListEntry& listed, EndpointIndex endpoint) {
   if (listed.health == EndpointListEntry::Health::left) return true;
   EndpointIndex other = upstreams_.endpoints().endpoint_at(listed.dial);
@@ -116,7 +129,9 @@
   };
   for (const auto& change : manual_drains_.set(names, process_of)) {
     log_(Level::info,
-         change.name + (change.drained ? ": drained by an operator" : ": no longer drained by an operator"));
+         "endpoint " + change.name +
+             (change.drained ? ": manual drain: off -> on" : ": manual drain: on -> off"),
+         {{"endpoint", std::string_view(change.name)}, {"manual_drain", change.drained ? 1.0 : 0.0}});
     EndpointIndex endpoint = upstreams_.endpoints().find(change.name);
     if (endpoint == no_endpoint) continue;
     upstreams_.set_manual_drain(endpoint, change.drained);
@@ -124,8 +139,8 @@
   }
 }
 
-void EndpointDirectory::forget_departed() {
-  manual_drains_.forget([this](const std::string& name) { return is_listed(name); });
+void EndpointDirectory::evict_unlisted_drains() {
+  manual_drains_.evict_unlisted([this](const std::string& name) { return is_listed(name); });
 }
 
 bool EndpointDirectory::is_listed(const std::string& name) const {
@@ -134,11 +149,11 @@
 }
 
 std::vector<std::uint32_t> EndpointDirectory::listed_server_ids() const {
-  std::vector<std::uint32_t> all;
+  std::vector<std::uint32_t> server_ids;
   for (std::size_t i = 0; i < server_ids_.size(); ++i)
     if (i < upstreams_.endpoints().size() && upstreams_.endpoints().is_listed(static_cast<EndpointIndex>(i)))
-      all.push_back(server_ids_[i]);
-  return all;
+      server_ids.push_back(server_ids_[i]);
+  return server_ids;
 }
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/endpoint/directory.hpp
+++ b/src/proxy/endpoint/directory.hpp
@@ -1,5 +1,5 @@
-// Which server stands behind an endpoint's index: applies endpoint lists and operators' drains to the
-// upstream connections and to the policy. Times are in ms by the proxy's clock.
+// Maps endpoint indices to servers: applies endpoint lists and operators' drains to the upstream connections
+// and to the policy. Times are in ms by the proxy's clock.
 #pragma once
 
 #include <cstdint>
@@ -19,38 +19,41 @@
 
 class EndpointDirectory {
  public:
-  // All of these outlive it.
+  // All references outlive the directory.
   EndpointDirectory(const ProxySettings& settings, Upstreams& upstreams, Policy& policy, Logger log)
       : settings_(settings), upstreams_(upstreams), policy_(policy), log_(std::move(log)) {}
 
-  // The configuration's list, which holds until discovery's first.
+  // Applies the configured list, in use until discovery sends its first.
   void use_cached(const protocol::EndpointList& cached, double now_ms);
-  // A list from discovery. Lists may come out of order: entries older than what is known change nothing.
+  // Applies a list from discovery. Lists may arrive out of order: entries older than the known state are
+  // ignored.
   void receive(protocol::EndpointList update, double now_ms);
-  // The watch on discovery broke; the endpoints known so far stay in use.
+  // Reports a failed watch on discovery; the known endpoints stay in use.
   void watch_failed(double now_ms);
-  // Another discovery from here on, whose versions are its own.
-  void begin_anew() { registry_.begin_anew(); }
-  // The configuration's own list instead of discovery's.
+  // The lists that follow come from another discovery, which counts its own versions.
+  void discovery_changed() { registry_.restart_versions(); }
+  // Replaces discovery's list with the configured one.
   void replace(const protocol::EndpointList& configured, double now_ms);
-  // The servers that operators have drained, all of them; it holds from now on whatever is listed.
+  // Sets the complete set of servers drained by operators. It also covers servers listed later.
   void set_manual_drains(const std::set<std::string>& names, double now_ms);
-  // Forgets the drains of names that are no longer listed. To be called now and then.
-  void forget_departed();
+  // Drops aliases of drained servers that are no longer listed. To be called periodically.
+  void evict_unlisted_drains();
 
   [[nodiscard]] bool is_listed(const std::string& name) const;
-  // A server's number, the same at every balancer.
+  // The server's id, equal at every balancer.
   [[nodiscard]] std::uint32_t server_id(EndpointIndex endpoint) const {
     return server_ids_[position_of(endpoint)];
   }
-  // Of the listed servers that get requests.
+  // The ids of all listed servers.
   [[nodiscard]] std::vector<std::uint32_t> listed_server_ids() const;
 
  private:
   void apply(EndpointListUpdate kind, const protocol::EndpointList& list, double now_ms);
   void apply(const protocol::EndpointListEntry& listed, std::vector<bool>& seen);
-  // It has left, or a newer server has its address; an older server at its address departs.
+  // True if the server has left or a newer server has its address. Removes an older server at its address.
   bool has_departed(const protocol::EndpointListEntry& listed, EndpointIndex endpoint);
+  void log_late_list(std::int64_t version, std::int64_t newest_version,
+                     const protocol::EndpointList& changes) const;
   void depart(EndpointIndex endpoint);
   void set_server_id(EndpointIndex endpoint, const std::string& name);
 
--- a/src/proxy/endpoint/learned_state_names.hpp
+++ b/src/proxy/endpoint/learned_state_names.hpp
@@ -1,6 +1,6 @@
-// Learned state under names that hold outside of this process. The policy knows endpoints by index, which
-// another process gives out anew: between processes they go by their servers' names. An entry that is about
-// an endpoint ends in '@' and the endpoint; the others pass through as they are.
+// Translates learned state between endpoint indices, which are local to a process, and server names, which
+// another process understands. The key of an entry about an endpoint ends in '@' and the endpoint; other
+// entries are unchanged.
 #pragma once
 
 #include "policy/types.hpp"
@@ -9,7 +9,7 @@
 namespace meadowgauge::proxy {
 
 LearnedState with_server_names(const LearnedState& by_index, const EndpointSlots& endpoints);
-// Entries about servers that have no index here are left out.
+// Omits entries about servers without an index in this process.
 LearnedState with_endpoint_indices(const LearnedState& by_name, const EndpointSlots& endpoints);
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/endpoint/manual_drains.cpp
+++ b/src/proxy/endpoint/manual_drains.cpp
@@ -14,7 +14,7 @@
       remember(listed.name, {.address = listed.dial, .started_ms = listed.started_ms});
     return true;
   }
-  if (listed.dial.empty()) return aliases_.contains(listed.name);  // it stays where it was
+  if (listed.dial.empty()) return aliases_.contains(listed.name);  // the entry keeps the known address
   auto it = by_address_.find(listed.dial);
   if (it == by_address_.end() || it->second.started_ms != listed.started_ms) {
     aliases_.erase(listed.name);
--- a/src/proxy/endpoint/manual_drains.hpp
+++ b/src/proxy/endpoint/manual_drains.hpp
@@ -1,4 +1,4 @@
-// Which servers operators have drained, under whatever name endpoint lists give them. Values only.
+// The servers drained by operators, including processes that a list renames. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,21 +14,20 @@
 
 class ManualDrains {
  public:
-  // One process of a server: at one address only one runs, so that a later start there is another.
+  // One process of a server. One process serves an address, so another start there is another process.
   struct Process {
     std::string address;
-    double started_ms = 0;  // as endpoint lists tell it
+    double started_ms = 0;
   };
   struct Change {
     std::string name;
     bool drained = false;
   };
 
-  // Drained by its name; or it is a server that is drained under another: the same address and the same
-  // start.
+  // True if drained by name, or if the process of that address and start is drained under another name.
   bool is_drained(const protocol::EndpointListEntry& listed);
-  // All that are drained from now on; returns what changes by that. `process_of` tells, by name, the process
-  // of a server that is listed, as std::optional<Process>.
+  // Sets the complete set of drained names and returns the changes. `process_of(name)` returns a listed
+  // server's process as std::optional<Process>.
   template <class F>
   std::vector<Change> set(const std::set<std::string>& names, F&& process_of) {
     for (const auto& name : names)
@@ -36,12 +35,12 @@
         remember(name, *process);
     return set(names);
   }
-  // Drops names that nobody has any more; `is_listed` tells, by name.
+  // Drops the aliases for which `is_listed(name)` is false.
   template <class F>
-  void forget(F&& is_listed) {
+  void evict_unlisted(F&& is_listed) {
     std::erase_if(aliases_, [&](const auto& alias) { return !is_listed(alias.first); });
   }
-  // How many entries it keeps, for tests of its bounds.
+  // Number of processes and aliases kept.
   [[nodiscard]] std::size_t remembered() const { return by_address_.size() + aliases_.size(); }
 
  private:
@@ -53,7 +52,7 @@
   };
   std::set<std::string> names_;
   std::map<std::string, DrainedProcess> by_address_;
-  std::map<std::string, std::string> aliases_;  // newer names, to the one that is drained
+  std::map<std::string, std::string> aliases_;  // by a process's newer name: its drained name
 };
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/endpoint/registry.cpp
+++ b/src/proxy/endpoint/registry.cpp
@@ -1,6 +1,8 @@
 #include "proxy/endpoint/registry.hpp"
 
 #include <algorithm>
+#include <string_view>
+#include <unordered_set>
 #include <utility>
 #include <vector>
 
@@ -8,108 +10,140 @@
 
 using protocol::EndpointList;
 using protocol::EndpointListEntry;
+using Health = EndpointListEntry::Health;
 
 namespace {
-// Lists of lower versions alone for so long: no delay lasts that long, so they are a new count.
-constexpr double versions_began_anew_after_ms = 20000;
-// What has left is remembered so that an older list does not bring it back; the oldest go first.
-constexpr std::size_t most_servers = 20000;
+
+// Longer than any delay of a list: lists of lower versions alone for this time belong to a new count.
+constexpr double versions_restarted_after_ms = 20000;
+// Departed servers are remembered so that a late list does not bring them back, up to this number.
+constexpr std::size_t max_servers = 20000;
+
 }  // namespace
 
-// Under one name and one start a server goes on from active to leaving to left; where versions can't tell
-// which state is the newer one, it does not come back.
-void EndpointRegistry::record(EndpointListEntry& listed, std::int64_t seq) {
-  auto& known = servers_[listed.name];
-  if (new_discovery_ && listed.health == EndpointListEntry::Health::active &&
-      known.health == EndpointListEntry::Health::leaving && known.started_ms >= listed.started_ms)
-    listed.health = EndpointListEntry::Health::leaving;
-  known = {.seq = std::max(seq, known.seq), .started_ms = listed.started_ms, .health = listed.health};
+// --- Rules -----------------------------------------------------------------------------------------------
+
+// A server of one start only goes from active to leaving to left. The first list of a new discovery can't be
+// ordered by version, so a known drain outweighs it.
+bool EndpointRegistry::keeps_draining(const ServerState& known, const EndpointListEntry& listed) const {
+  return first_list_pending_ && listed.health == Health::active && known.health == Health::leaving &&
+         known.started_ms >= listed.started_ms;
+}
+
+// A drain is the later state of one start, also in a list of a lower version: the versions may have
+// restarted.
+bool EndpointRegistry::is_new_drain(const ServerState& known, const EndpointListEntry& listed) const {
+  bool present = known.health == Health::active && known.version >= newest_full_version_;
+  return present && listed.health == Health::leaving && listed.started_ms >= known.started_ms;
 }
 
-// A drain is the later state of one start of a server, whatever the versions: an older list that tells it may
-// be of a new count.
-bool EndpointRegistry::is_newer(const EndpointListEntry& listed, std::int64_t seq) const {
+// An entry of a late list counts if its version is above that of the server's recorded state. An unknown
+// server must be above the newest full list, which did not name it.
+bool EndpointRegistry::supersedes(const EndpointListEntry& listed, std::int64_t version) const {
   auto it = servers_.find(listed.name);
-  if (it == servers_.end()) return newest_full_ < seq;
-  const auto& known = it->second;
-  bool there = known.health == EndpointListEntry::Health::active && known.seq >= newest_full_;
-  return version_of(known) < seq || (there && listed.health == EndpointListEntry::Health::leaving &&
-                                     listed.started_ms >= known.started_ms);
+  if (it == servers_.end()) return newest_full_version_ < version;
+  return effective_version(it->second) < version || is_new_drain(it->second, listed);
 }
 
-void EndpointRegistry::record_all(EndpointList& list) {
-  for (auto& listed : list.hosts) record(listed, list.seq);
-  newest_ = list.seq;
-  if (list.full) newest_full_ = list.seq;
-  new_discovery_ = false;
-  older_since_ = {};
-  older_list_ = {};
-  forget();
+// A late full list says that every server of an older state which it does not name has left.
+EndpointList EndpointRegistry::implied_departures(const EndpointList& late_list) const {
+  EndpointList departures{.seq = late_list.seq, .full = false, .hosts = {}, .skipped = {}};
+  if (!late_list.full) return departures;
+  std::unordered_set<std::string_view> named;
+  for (const auto& listed : late_list.hosts) named.insert(listed.name);
+  for (const auto& [name, known] : servers_)
+    if (known.health != Health::left && effective_version(known) < late_list.seq && !named.contains(name))
+      departures.hosts.push_back({.name = name, .dial = {}, .zone = {}, .kind = {}, .health = Health::left});
+  return departures;
+}
+
+// A single delayed list is followed by a newer one well before this. Without a full list among the late ones
+// the new count's endpoints are not known completely.
+bool EndpointRegistry::versions_restarted(double now_ms) const {
+  return late_entries_ && now_ms - *late_since_ms_ >= versions_restarted_after_ms;
+}
+
+// A full list states every server, named or not.
+std::int64_t EndpointRegistry::effective_version(const ServerState& known) const {
+  return std::max(known.version, newest_full_version_);
 }
 
-EndpointList EndpointRegistry::take(EndpointList list, double now_ms) {
-  if (list.seq >= newest_) {
+// --- Merging ---------------------------------------------------------------------------------------------
+
+EndpointList EndpointRegistry::merge(EndpointList list, double now_ms) {
+  if (list.seq >= newest_version_) {
     record_all(list);
     return list;
   }
-  collect_older(list, now_ms);
-  // One that came astray is followed by none so much later: this count goes on.
-  if (older_list_ && now_ms - *older_since_ >= versions_began_anew_after_ms) return adopt(list.seq);
-  // Of each server the newest state counts; a full list tells the state of all of them.
-  EndpointList changes{.seq = list.seq, .full = false, .hosts = {}, .skipped = {}};
-  if (list.full) {
-    std::unordered_map<std::string_view, bool> named;
-    for (const auto& listed : list.hosts) named[listed.name] = true;
-    for (const auto& [name, known] : servers_)
-      if (known.health != EndpointListEntry::Health::left && version_of(known) < list.seq &&
-          !named.contains(name))
-        changes.hosts.push_back(
-            {.name = name, .dial = {}, .zone = {}, .kind = {}, .health = EndpointListEntry::Health::left});
-  }
+  collect_late(list, now_ms);
+  if (versions_restarted(now_ms)) return adopt_late_lists(list.seq);
+  return merge_late(std::move(list));
+}
+
+EndpointList EndpointRegistry::merge_late(EndpointList&& list) {
+  EndpointList changes = implied_departures(list);
   for (auto& listed : list.hosts)
-    if (is_newer(listed, list.seq)) changes.hosts.push_back(std::move(listed));
+    if (supersedes(listed, list.seq)) changes.hosts.push_back(std::move(listed));
   for (auto& listed : changes.hosts) record(listed, list.seq);
-  if (list.full) newest_full_ = std::max(newest_full_, list.seq);
-  forget();
+  if (list.full) newest_full_version_ = std::max(newest_full_version_, list.seq);
+  evict_departed();
   return changes;
 }
 
-void EndpointRegistry::collect_older(const EndpointList& list, double now_ms) {
-  if (!older_since_) older_since_ = now_ms;
-  if (list.full) older_list_.emplace();
-  if (!older_list_) return;
+void EndpointRegistry::record(EndpointListEntry& listed, std::int64_t version) {
+  auto& known = servers_[listed.name];
+  if (keeps_draining(known, listed)) listed.health = Health::leaving;
+  known = {
+      .version = std::max(version, known.version), .started_ms = listed.started_ms, .health = listed.health};
+}
+
+void EndpointRegistry::record_all(EndpointList& list) {
+  for (auto& listed : list.hosts) record(listed, list.seq);
+  newest_version_ = list.seq;
+  if (list.full) newest_full_version_ = list.seq;
+  first_list_pending_ = false;
+  late_since_ms_ = {};
+  late_entries_ = {};
+  evict_departed();
+}
+
+void EndpointRegistry::collect_late(const EndpointList& list, double now_ms) {
+  if (!late_since_ms_) late_since_ms_ = now_ms;
+  if (list.full) late_entries_.emplace();
+  if (!late_entries_) return;
   for (const auto& listed : list.hosts)
-    if (listed.health == EndpointListEntry::Health::left)
-      older_list_->erase(listed.name);
+    if (listed.health == Health::left)
+      late_entries_->erase(listed.name);
     else
-      older_list_->insert_or_assign(listed.name, listed);
+      late_entries_->insert_or_assign(listed.name, listed);
 }
 
-EndpointList EndpointRegistry::adopt(std::int64_t seq) {
-  EndpointList list{.seq = seq, .full = true, .hosts = {}, .skipped = {}};
-  for (auto& [name, listed] : *older_list_) list.hosts.push_back(std::move(listed));
-  begin_anew();
+EndpointList EndpointRegistry::adopt_late_lists(std::int64_t version) {
+  EndpointList list{.seq = version, .full = true, .hosts = {}, .skipped = {}};
+  for (auto& [name, listed] : *late_entries_) list.hosts.push_back(std::move(listed));
+  restart_versions();
   record_all(list);
   return list;
 }
 
-void EndpointRegistry::begin_anew() {
-  newest_ = newest_full_ = no_version;
-  for (auto& [name, known] : servers_) known.seq = no_version;
-  new_discovery_ = true;
-  older_since_ = {};
-  older_list_ = {};
+void EndpointRegistry::restart_versions() {
+  newest_version_ = newest_full_version_ = no_version;
+  for (auto& [name, known] : servers_) known.version = no_version;
+  first_list_pending_ = true;
+  late_since_ms_ = {};
+  late_entries_ = {};
 }
 
-void EndpointRegistry::forget() {
-  if (servers_.size() <= most_servers) return;
-  std::vector<std::pair<std::int64_t, std::string>> left;
+// Evicts the oldest departed servers first, down to half of the bound.
+void EndpointRegistry::evict_departed() {
+  if (servers_.size() <= max_servers) return;
+  std::vector<std::pair<std::int64_t, std::string>> departed;
   for (const auto& [name, known] : servers_)
-    if (known.health == EndpointListEntry::Health::left || known.seq < newest_full_)
-      left.emplace_back(known.seq, name);
-  std::sort(left.begin(), left.end());
-  left.resize(std::min(left.size(), servers_.size() - most_servers / 2));
-  for (const auto& [seq, name] : left) servers_.erase(name);
+    if (known.health == Health::left || known.version < newest_full_version_)
+      departed.emplace_back(known.version, name);
+  std::sort(departed.begin(), departed.end());
+  departed.resize(std::min(departed.size(), servers_.size() - max_servers / 2));
+  for (const auto& [version, name] : departed) servers_.erase(name);
 }
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/endpoint/registry.hpp
+++ b/src/proxy/endpoint/registry.hpp
@@ -1,6 +1,5 @@
-// The newest state received of each listed server. Endpoint lists may come late, out of order, or from a
-// discovery that has begun its versions anew. Values only: no I/O, and no clock but the times handed in, in
-// ms.
+// The newest state received of each listed server. Endpoint lists may arrive late, out of order, or from a
+// discovery that has restarted its versions. Does no I/O; times are passed in, in ms.
 #pragma once
 
 #include <cstdint>
@@ -15,44 +14,51 @@
 
 class EndpointRegistry {
  public:
-  // Takes in a list and returns the changes that follow from it: the list as it stands where it is as new as
-  // any received before; otherwise its entries that are newer than what is known, if any. Where only lists of
-  // lower versions have come for long, a full one among them, the versions have begun anew: the changes are
-  // then what those lists said together, as a full list.
-  protocol::EndpointList take(protocol::EndpointList list, double now_ms);
-  // Another discovery from here on: its versions are its own. Drains stay until a later list of it says
-  // otherwise.
-  void begin_anew();
-
-  // The newest version received; the least number there is before any.
-  [[nodiscard]] std::int64_t newest() const { return newest_; }
-  // How many servers it keeps a state of, for tests of its bound.
+  // Records a list and returns the changes to apply. A list at or above the newest version is returned as it
+  // is. Of an older list only the entries that supersede the recorded state are returned. Once the versions
+  // have restarted, the older lists received since then are returned merged, as a full list.
+  protocol::EndpointList merge(protocol::EndpointList list, double now_ms);
+  // Discovery has changed, and its versions are independent of the previous ones. Recorded drains hold until
+  // a later list of the new discovery revokes them.
+  void restart_versions();
+
+  // The newest version received; INT64_MIN before any.
+  [[nodiscard]] std::int64_t newest_version() const { return newest_version_; }
+  // Number of servers with a recorded state.
   [[nodiscard]] std::size_t remembered() const { return servers_.size(); }
 
  private:
-  struct ServerState {  // the newest received of a server
-    std::int64_t seq = 0;
+  struct ServerState {
+    std::int64_t version = 0;
     double started_ms = 0;
     protocol::EndpointListEntry::Health health = protocol::EndpointListEntry::Health::active;
   };
-  [[nodiscard]] std::int64_t version_of(const ServerState& known) const {
-    return known.seq < newest_full_ ? newest_full_ : known.seq;
-  }
-  [[nodiscard]] bool is_newer(const protocol::EndpointListEntry& listed, std::int64_t seq) const;
-  void record(protocol::EndpointListEntry& listed, std::int64_t seq);
+
+  // Rules for late, partial and restarted lists; their reasons stand at the definitions.
+  [[nodiscard]] bool keeps_draining(const ServerState& known,
+                                    const protocol::EndpointListEntry& listed) const;
+  [[nodiscard]] bool is_new_drain(const ServerState& known, const protocol::EndpointListEntry& listed) const;
+  [[nodiscard]] bool supersedes(const protocol::EndpointListEntry& listed, std::int64_t version) const;
+  [[nodiscard]] protocol::EndpointList implied_departures(const protocol::EndpointList& late_list) const;
+  [[nodiscard]] bool versions_restarted(double now_ms) const;
+
+  [[nodiscard]] std::int64_t effective_version(const ServerState& known) const;
+  protocol::EndpointList merge_late(protocol::EndpointList&& list);
+  void record(protocol::EndpointListEntry& listed, std::int64_t version);
   void record_all(protocol::EndpointList& list);
-  void collect_older(const protocol::EndpointList& list, double now_ms);
-  protocol::EndpointList adopt(std::int64_t seq);
-  void forget();
+  void collect_late(const protocol::EndpointList& list, double now_ms);
+  protocol::EndpointList adopt_late_lists(std::int64_t version);
+  void evict_departed();
 
-  std::unordered_map<std::string, ServerState> servers_;
-  std::int64_t newest_ = no_version;       // of all lists
-  std::int64_t newest_full_ = no_version;  // of those that name all servers
-  bool new_discovery_ = false;             // the next list is the first of another discovery
-  // What older lists have said, from the first of them on, unless a newer one has come since.
-  std::optional<double> older_since_;
-  std::optional<std::map<std::string, protocol::EndpointListEntry>> older_list_;
   static constexpr std::int64_t no_version = INT64_MIN;
+
+  std::unordered_map<std::string, ServerState> servers_;
+  std::int64_t newest_version_ = no_version;
+  std::int64_t newest_full_version_ = no_version;
+  bool first_list_pending_ = false;  // of a new discovery
+  // Lists below the newest version, received since the last one at or above it.
+  std::optional<double> late_since_ms_;
+  std::optional<std::map<std::string, protocol::EndpointListEntry>> late_entries_;  // set from a full list on
 };
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/endpoint/slots.cpp
+++ b/src/proxy/endpoint/slots.cpp
@@ -9,8 +9,7 @@
   return it == by_name_.end() ? no_endpoint : it->second;
 }
 
-// Under ever new names the indices, and all that is kept for each, would grow for good: the spare ones go
-// first.
+// Reuses spare indices first: otherwise the tables by index would grow with every new server name.
 EndpointIndex EndpointSlots::add(const std::string& name) {
   auto endpoint = static_cast<EndpointIndex>(slots_.size());
   if (spare_.empty()) {
@@ -32,48 +31,49 @@
 
 bool EndpointSlots::update(EndpointIndex endpoint, const std::string& address, double started_at_ms,
                            bool active) {
-  auto& s = slot(endpoint);
-  auto dial_address = address.empty() ? s.dial_address : transport::Address::parse(address);
-  bool other_process = dial_address != s.dial_address || started_at_ms != s.started_at_ms;
-  if (other_process) ++s.generation;
-  s.dial_address = dial_address;
-  s.started_at_ms = started_at_ms;
-  s.active = active;
-  s.listed = true;
+  auto& endpoint_slot = slot(endpoint);
+  auto dial_address = address.empty() ? endpoint_slot.dial_address : transport::Address::parse(address);
+  bool other_process =
+      dial_address != endpoint_slot.dial_address || started_at_ms != endpoint_slot.started_at_ms;
+  if (other_process) ++endpoint_slot.generation;
+  endpoint_slot.dial_address = dial_address;
+  endpoint_slot.started_at_ms = started_at_ms;
+  endpoint_slot.active = active;
+  endpoint_slot.listed = true;
   if (!address.empty()) {
     release_address(endpoint);
-    s.address = address;
+    endpoint_slot.address = address;
     by_address_[address] = endpoint;
   }
   return other_process;
 }
 
 void EndpointSlots::set_manual_drain(EndpointIndex endpoint, bool drained) {
-  auto& s = slot(endpoint);
-  s.manually_drained = drained;
-  if (!drained) ++s.generation;
+  auto& endpoint_slot = slot(endpoint);
+  endpoint_slot.manually_drained = drained;
+  if (!drained) ++endpoint_slot.generation;
 }
 
 bool EndpointSlots::remove(EndpointIndex endpoint) {
-  auto& s = slot(endpoint);
-  if (!s.listed) return false;
-  s.listed = false;
+  auto& endpoint_slot = slot(endpoint);
+  if (!endpoint_slot.listed) return false;
+  endpoint_slot.listed = false;
   release_address(endpoint);
   if (std::find(removed_.begin(), removed_.end(), endpoint) == removed_.end()) removed_.push_back(endpoint);
   return true;
 }
 
-// Another server may be listed at its address by now.
+// Keeps the address if another server is listed there.
 void EndpointSlots::release_address(EndpointIndex endpoint) {
   if (endpoint_at(slot(endpoint).address) == endpoint) by_address_.erase(slot(endpoint).address);
 }
 
 void EndpointSlots::reclaim(const std::function<bool(EndpointIndex endpoint)>& in_use) {
   std::erase_if(removed_, [&](EndpointIndex endpoint) {
-    const auto& s = slot(endpoint);
-    if (s.listed) return true;  // it came back
+    const auto& endpoint_slot = slot(endpoint);
+    if (endpoint_slot.listed) return true;  // listed again since
     if (in_use(endpoint)) return false;
-    by_name_.erase(s.name);
+    by_name_.erase(endpoint_slot.name);
     spare_.push_back(endpoint);
     return true;
   });
@@ -81,12 +81,12 @@
 
 std::size_t EndpointSlots::listed_count() const {
   return static_cast<std::size_t>(
-      std::count_if(slots_.begin(), slots_.end(), [](const Slot& s) { return s.listed; }));
+      std::count_if(slots_.begin(), slots_.end(), [](const Slot& candidate) { return candidate.listed; }));
 }
 
 bool EndpointSlots::accepts_attempts(EndpointIndex endpoint) const {
-  const auto& s = slot(endpoint);
-  return s.listed && s.active && !s.manually_drained;
+  const auto& endpoint_slot = slot(endpoint);
+  return endpoint_slot.listed && endpoint_slot.active && !endpoint_slot.manually_drained;
 }
 
 std::string EndpointSlots::broken_invariant() const {
--- a/src/proxy/endpoint/slots.hpp
+++ b/src/proxy/endpoint/slots.hpp
@@ -1,5 +1,5 @@
-// Servers and their small indices, as connections see them: where each is dialled, since when it runs, and
-// whether new attempts may go there. Values only: no I/O and no clock. All times are in ms.
+// Assigns small indices to servers and keeps each one's address, incarnation start and availability for new
+// attempts. Does no I/O and reads no clock. All times are in ms.
 #pragma once
 
 #include <functional>
@@ -13,50 +13,48 @@
 
 namespace meadowgauge::proxy {
 
-// Owns the names and addresses. An index stays a server's own from add() until reclaim() gives it to others.
-// Functions that take an index expect one that add() has returned; the references that they return last until
-// the next call that changes something.
+// Owns the names and addresses. An index belongs to one server from add() until reclaim(). Functions that
+// take an index expect one returned by add(); returned references are valid until the next non-const call.
 class EndpointSlots {
  public:
-  // The server's index; `no_endpoint` where it has none.
+  // The server's index, or `no_endpoint`.
   [[nodiscard]] EndpointIndex find(const std::string& name) const;
-  // Gives an index to a server that has none: one that was reclaimed, or else the next.
+  // Assigns an index, a reclaimed one if there is any. The server must not have one yet.
   EndpointIndex add(const std::string& name);
-  // Who is listed at that address; `no_endpoint`: nobody.
+  // The server listed at that address, or `no_endpoint`.
   [[nodiscard]] EndpointIndex endpoint_at(const std::string& address) const;
 
-  // The server is listed, at that address (empty: where it was) and with an incarnation that started then.
-  // `active`: new attempts may go there. Returns whether another process is to be expected than before. An
-  // address that can't be read leaves it without one: dial_address() is empty then.
+  // Records a listed server. An empty `address` keeps the known one; a malformed one empties dial_address().
+  // `active`: new attempts are allowed. Returns true if the address or the incarnation has changed.
   bool update(EndpointIndex endpoint, const std::string& address, double started_at_ms, bool active);
-  // No new attempts go there whatever is listed, or may again. What was started anew while it was drained
-  // makes its connections those of another process.
+  // Stops new attempts, or allows them again. The end of a drain starts a new generation, because the process
+  // may have restarted meanwhile.
   void set_manual_drain(EndpointIndex endpoint, bool drained);
-  // The server is listed no more. Returns whether it was.
+  // The server is no longer listed. Returns false if it was not.
   bool remove(EndpointIndex endpoint);
-  // Takes back the indices of servers that were removed and are not `in_use`.
+  // Frees the indices of removed servers that are not `in_use`.
   void reclaim(const std::function<bool(EndpointIndex endpoint)>& in_use);
 
-  // As many indices as there ever were at a time.
+  // Number of indices, with the spare ones.
   [[nodiscard]] std::size_t size() const { return slots_.size(); }
   [[nodiscard]] std::size_t listed_count() const;
   [[nodiscard]] bool is_listed(EndpointIndex endpoint) const { return slot(endpoint).listed; }
   [[nodiscard]] const std::string& name(EndpointIndex endpoint) const { return slot(endpoint).name; }
-  // As it is listed.
+  // The listed address.
   [[nodiscard]] const std::string& address(EndpointIndex endpoint) const { return slot(endpoint).address; }
-  // Where it is dialled; absent where no address that can be read was listed.
+  // The parsed address; absent if the listed one is malformed.
   [[nodiscard]] const std::optional<transport::Address>& dial_address(EndpointIndex endpoint) const {
     return slot(endpoint).dial_address;
   }
   // The start of its incarnation, as listed.
   [[nodiscard]] double started_at_ms(EndpointIndex endpoint) const { return slot(endpoint).started_at_ms; }
-  // Counts the processes and addresses that it has had: a connection of an earlier generation leads to a
-  // process that is gone or about to go.
+  // Counts the server's processes and addresses. A connection of an earlier generation leads to a process
+  // that has stopped or is stopping.
   [[nodiscard]] int generation(EndpointIndex endpoint) const { return slot(endpoint).generation; }
   // Listed, active and not drained by an operator.
   [[nodiscard]] bool accepts_attempts(EndpointIndex endpoint) const;
 
-  // Empty where all invariants hold, otherwise what is broken. For tests, after every step.
+  // Empty if all invariants hold, else the broken one. For tests.
   [[nodiscard]] std::string broken_invariant() const;
 
  private:
