--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -158,6 +158,7 @@
   std::vector<EndpointIndex> ejected;
   static_cast<void>(policy_.unavailable_endpoints(now_ms_, &ejected));
   std::vector<std::uint32_t> server_ids;
+  server_ids.reserve(ejected.size());
   for (auto endpoint : ejected) server_ids.push_back(endpoints_.server_id(endpoint));
   return server_ids;
 }
--- a/src/proxy/discovery/watch_pacing.cpp
+++ b/src/proxy/discovery/watch_pacing.cpp
@@ -10,7 +10,7 @@
 
 // A change must be applied this long after discovery has it and is reachable.
 constexpr double change_binds_ms = 6000;
-// Reserved of it for discovery's answer.
+// The part of change_binds_ms that is reserved for discovery's answer.
 constexpr double answer_takes_ms = 500;
 
 // Pushed: the agent is on this machine and answers at once.
@@ -26,6 +26,7 @@
 // Polled: delay before an unreadable line is requested again.
 constexpr double polled_reread_ms = 1500;
 
+// Doubles with each consecutive failure.
 constexpr double first_backoff_ms = 100;
 constexpr double max_small_fleet_backoff_ms = 1400;
 // A change is late by the rest of an unanswered call, one backoff and an answer at most.
--- a/src/proxy/endpoint/slots.cpp
+++ b/src/proxy/endpoint/slots.cpp
@@ -89,17 +89,33 @@
   return endpoint_slot.listed && endpoint_slot.active && !endpoint_slot.manually_drained;
 }
 
-std::string EndpointSlots::broken_invariant() const {
-  if (by_name_.size() + spare_.size() != slots_.size()) return "an index is neither a server's nor spare";
+std::optional<SlotInvariant> EndpointSlots::broken_invariant() const {
+  if (by_name_.size() + spare_.size() != slots_.size()) return SlotInvariant::index_is_assigned_or_spare;
   for (const auto& [name, endpoint] : by_name_)
-    if (slot(endpoint).name != name) return "the index of " + name + " is another server's";
+    if (slot(endpoint).name != name) return SlotInvariant::name_leads_to_its_slot;
   for (const auto& [address, endpoint] : by_address_) {
-    if (!slot(endpoint).listed) return "nobody is listed at " + address + " any more";
-    if (slot(endpoint).address != address) return slot(endpoint).name + " is not at " + address;
+    if (!slot(endpoint).listed) return SlotInvariant::address_is_of_a_listed_server;
+    if (slot(endpoint).address != address) return SlotInvariant::address_leads_to_its_slot;
   }
   for (auto endpoint : spare_)
-    if (slot(endpoint).listed) return "a spare index is listed";
+    if (slot(endpoint).listed) return SlotInvariant::spare_index_is_unlisted;
   return {};
 }
 
+std::string_view text_of(SlotInvariant invariant) {
+  switch (invariant) {
+    case SlotInvariant::index_is_assigned_or_spare:
+      return "each endpoint index is either assigned or spare";
+    case SlotInvariant::name_leads_to_its_slot:
+      return "each server name leads to the slot of that name";
+    case SlotInvariant::address_is_of_a_listed_server:
+      return "each known address is that of a listed server";
+    case SlotInvariant::address_leads_to_its_slot:
+      return "each known address leads to the slot of that address";
+    case SlotInvariant::spare_index_is_unlisted:
+      return "no spare index is listed";
+  }
+  return "";
+}
+
 }  // namespace meadowgauge::proxy
--- a/src/proxy/endpoint/slots.hpp
+++ b/src/proxy/endpoint/slots.hpp
@@ -2,9 +2,11 @@
 // attempts. Does no I/O and reads no clock. All times are in ms.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <unordered_map>
 #include <vector>
 
@@ -13,6 +15,15 @@
 
 namespace meadowgauge::proxy {
 
+enum class SlotInvariant : std::uint8_t {
+  index_is_assigned_or_spare,
+  name_leads_to_its_slot,
+  address_is_of_a_listed_server,
+  address_leads_to_its_slot,
+  spare_index_is_unlisted,
+};
+std::string_view text_of(SlotInvariant invariant);
+
 // Owns the names and addresses. An index belongs to one server from add() until reclaim(). Functions that
 // take an index expect one returned by add(); returned references are valid until the next non-const call.
 class EndpointSlots {
@@ -54,8 +65,8 @@
   // Listed, active and not drained by an operator.
   [[nodiscard]] bool accepts_attempts(EndpointIndex endpoint) const;
 
-  // Empty if all invariants hold, else the broken one. For tests.
-  [[nodiscard]] std::string broken_invariant() const;
+  // A broken invariant, or none. For tests.
+  [[nodiscard]] std::optional<SlotInvariant> broken_invariant() const;
 
  private:
   struct Slot {
--- a/src/proxy/upstream/upstreams.cpp
+++ b/src/proxy/upstream/upstreams.cpp
@@ -280,7 +280,7 @@
 // --- Invariants ------------------------------------------------------------------------------------------
 
 std::string Upstreams::broken_invariant() const {
-  if (auto broken = endpoints_.broken_invariant(); !broken.empty()) return broken;
+  if (auto broken = endpoints_.broken_invariant()) return std::string(text_of(*broken));
   if (auto broken = connections_.broken_invariant(); !broken.empty()) return broken;
   std::size_t awaiting = 0;
   for (const auto& [id, attempt] : attempts_) {
--- a/tests/proxy/discovery/discovery_watch_renewal_test.cpp
+++ b/tests/proxy/discovery/discovery_watch_renewal_test.cpp
@@ -138,7 +138,7 @@
   }
 }
 
-// Whatever the kind of failure, a change is received within 6 s of discovery's return. Connections from the
+// After a failure of any kind a change is received within 6 s of discovery's return. Connections from the
 // outage stay dead.
 TEST(DiscoveryWatchRenewal, ChangeArrivesWithinSixSecondsOfAnOutage) {
   enum class Fails : std::uint8_t { closes, silent, unavailable, trickles_head, trickles_line, watch_dies };
--- a/tests/proxy/upstream/upstream_parts_test.cpp
+++ b/tests/proxy/upstream/upstream_parts_test.cpp
@@ -37,7 +37,7 @@
   EXPECT_EQ(s.slots.generation(s.endpoint), generation + 2);
   EXPECT_EQ(s.slots.endpoint_at(address), no_endpoint);
   EXPECT_EQ(s.slots.endpoint_at(other_address), s.endpoint);
-  EXPECT_EQ(s.slots.broken_invariant(), "");
+  EXPECT_EQ(s.slots.broken_invariant(), std::nullopt);
 }
 
 TEST(EndpointSlots, AnAddressThatCanNotBeReadLeavesNoneToDial) {
@@ -45,7 +45,7 @@
   EXPECT_TRUE(s.slots.update(s.endpoint, "nowhere", 1, true));
   EXPECT_FALSE(s.slots.dial_address(s.endpoint));
   EXPECT_EQ(s.slots.address(s.endpoint), "nowhere");
-  EXPECT_EQ(s.slots.broken_invariant(), "");
+  EXPECT_EQ(s.slots.broken_invariant(), std::nullopt);
 }
 
 TEST(EndpointSlots, AcceptsAttemptsWhileListedActiveAndNotDrained) {
@@ -64,7 +64,7 @@
   EXPECT_TRUE(s.slots.remove(s.endpoint));
   EXPECT_FALSE(s.slots.remove(s.endpoint));
   EXPECT_FALSE(s.slots.accepts_attempts(s.endpoint));
-  EXPECT_EQ(s.slots.broken_invariant(), "");
+  EXPECT_EQ(s.slots.broken_invariant(), std::nullopt);
 }
 
 TEST(EndpointSlots, AnIndexIsReclaimedOnceItIsNotInUse) {
@@ -80,7 +80,7 @@
   EXPECT_EQ(s.slots.find("a"), no_endpoint);
   EXPECT_EQ(s.slots.add("b"), s.endpoint);
   EXPECT_EQ(s.slots.generation(s.endpoint), 0);
-  EXPECT_EQ(s.slots.broken_invariant(), "");
+  EXPECT_EQ(s.slots.broken_invariant(), std::nullopt);
 }
 
 constexpr double idle_timeout_ms = 30000;
