--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -143,8 +143,8 @@
   UpgradePair pair;
   pair.start_next();
   pair.old.terminate();
-  pair.old.wait_for_log("serves on for a while");
-  EXPECT_EQ(pair.old.get_status("/-/ready"), 503);  // but connections are still accepted
+  pair.old.wait_for_log("serving -> draining");
+  EXPECT_EQ(pair.old.get_status("/-/ready"), 503);  // connections are still accepted
   pair.wait_until_next_serves();
   EXPECT_EQ(pair.old.exit_status(), 0);
   EXPECT_EQ(pair.next->get_status("/-/ready"), 200);
