--- a/src/proxy/proxy_settings.cpp
+++ b/src/proxy/proxy_settings.cpp
@@ -85,7 +85,7 @@
           .dial_timeout_ms = number(settings, "limits.dial_timeout_ms", defaults.dial_timeout_ms, log),
           .idle_timeout_ms = number(settings, "limits.conn_idle_ms", defaults.idle_timeout_ms, log),
           .settle_ms = number(settings, "limits.settle_ms", defaults.settle_ms, log),
-          .most_in_flight = number(settings, "limits.most_held", defaults.most_in_flight, log)};
+          .max_in_flight = number(settings, "limits.most_held", defaults.max_in_flight, log)};
 }
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/proxy_settings.hpp
+++ b/src/proxy/proxy_settings.hpp
@@ -21,7 +21,7 @@
   double dial_timeout_ms = 1000;
   double idle_timeout_ms = 30000;  // upstreams close idle connections after this
   double settle_ms = 20;           // between a response and the connection's next request
-  double most_in_flight = 20000;   // requests
+  double max_in_flight = 20000;    // requests
 
   // 0 where there is no class.
   [[nodiscard]] double longest_client_timeout_ms() const;
--- a/src/proxy/request/admission.cpp
+++ b/src/proxy/request/admission.cpp
@@ -18,16 +18,16 @@
 
 namespace {
 
-constexpr std::uint32_t most_stated_budget_ms = 3600000;
-constexpr double most_budget_ms = 1e7;
+constexpr std::uint32_t max_stated_budget_ms = 3600000;
+constexpr double max_budget_ms = 1e7;
 
-// A default in place of a budget that can't be read served clients that had asked for nothing of the kind.
+// A request with an unreadable budget is refused; the class's default is for requests that state none.
 bool budget_readable(const Message& message) {
   if (message.count(names::time_budget) == 0) return true;
   auto text = message.find(names::time_budget);
   std::uint32_t ms = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), ms);
-  return error == std::errc{} && end == text.data() + text.size() && ms <= most_stated_budget_ms;
+  return error == std::errc{} && end == text.data() + text.size() && ms <= max_stated_budget_ms;
 }
 
 bool control_header_repeated(const Message& message) {
@@ -36,7 +36,7 @@
   return std::ranges::any_of(control_headers, [&](auto name) { return message.count(name) > 1; });
 }
 
-// A message that names these as its hop's own would have them dropped on the way.
+// A `Connection` header that lists the id or the key makes the next hop drop it.
 bool control_header_not_forwarded(const Message& message) {
   return std::ranges::any_of(message.fields(), [&](const protocol::Field& field) {
     bool must_pass = equals_ignoring_case(field.name, names::request_id) ||
@@ -50,10 +50,10 @@
   double stated = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), stated);
   bool readable = error == std::errc{} && end == text.data() + text.size() && std::isfinite(stated);
-  return std::clamp(readable ? stated : rules.client_timeout_ms, 0.0, most_budget_ms);
+  return std::clamp(readable ? stated : rules.client_timeout_ms, 0.0, max_budget_ms);
 }
 
-// Nothing is guessed at: what one reader takes for a request another might take for a different one.
+// Refuses every ambiguous message: proxy and endpoint might read it as two different requests.
 std::optional<RefusalReason> malformed(const Message& message, const RequestClassRules& rules,
                                        const std::unordered_set<std::string_view>& unanswered_ids) {
   if (control_header_repeated(message)) return RefusalReason::repeated_control_header;
@@ -113,13 +113,13 @@
   auto refuse = [request_class](RefusalReason reason, double retry_after_ms = 0) {
     return Refusal{.reason = reason, .request_class = request_class, .retry_after_ms = retry_after_ms};
   };
-  // Whether it may be repeated is not known then: nothing is sent anywhere.
+  // Without a class the rule for retries is unknown, so the request is not forwarded.
   if (request_class < 0) return refuse(RefusalReason::unknown_request_class);
-  // A server that resolves the path would run it under a class with other rules for repeats.
+  // An endpoint that resolves the path might run it under a class with another RepeatRule.
   if (!protocol::resolves_under_first_segment(path)) return refuse(RefusalReason::ambiguous_path);
   const auto& rules = classes_[static_cast<std::size_t>(request_class)];
   if (auto reason = malformed(message, rules, context.unanswered_ids)) return refuse(*reason);
-  // There is no room to keep it, whatever might be decided: refused at once.
+  // Checked before the policy is asked: there is no capacity to hold the request.
   if (context.at_capacity) return refuse(RefusalReason::at_capacity);
   auto info = protocol::read_request_hints(message.find(names::request_hints));
   AdmittedRequest request{.request_class = request_class,
@@ -129,7 +129,7 @@
                           .work_ms = info.work_ms,
                           .key = info.key,
                           .body_incoming = !message.complete()};
-  // Last, as it uses the limit up.
+  // The last check, because it consumes quota.
   if (context.fleet_limits)
     if (double wait_ms = context.fleet_limits->try_acquire(request.tenant, request_class); wait_ms > 0)
       return refuse(RefusalReason::fleet_limit, wait_ms);
--- a/src/proxy/request/admission.hpp
+++ b/src/proxy/request/admission.hpp
@@ -1,5 +1,5 @@
-// The edge of the proxy: a parsed message becomes a typed request or a typed refusal here, before anything
-// else sees it. Values only: no I/O, no clock.
+// The edge of the proxy: turns a parsed message into a typed request or a typed refusal before any other
+// module reads it. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -18,28 +18,28 @@
 
 // Whether a request may be sent to an upstream more than once.
 enum class RepeatRule : std::uint8_t {
-  never,        // it changes something: once it may have run, it is not sent again
-  idempotent,   // it changes nothing
-  deduplicated  // it carries an idempotency key by which servers recognise a repetition
+  never,        // not idempotent: no retry once the request may have run
+  idempotent,   // has no side effects
+  deduplicated  // carries an idempotency key, by which endpoints recognise a repetition
 };
 
-// What the settings say of one request class.
+// The settings of one request class.
 struct RequestClassRules {
-  std::string name;  // the first segment of its paths
+  std::string name;  // first segment of the paths of the class
   RepeatRule repeat = RepeatRule::never;
-  double client_timeout_ms = 0;  // the time budget of a request that states none
-  bool streamed = false;         // its responses may last longer than the budget
+  double client_timeout_ms = 0;  // default time budget
+  bool streamed = false;         // responses may last longer than the budget
 };
 
 // A request that may be dispatched.
 struct AdmittedRequest {
   int request_class = 0;
-  int tenant = -1;       // -1: none that the settings name
-  double budget_ms = 0;  // from its last byte to its final response
+  int tenant = -1;       // -1: absent, or unknown to the settings
+  double budget_ms = 0;  // from the request's last byte to its final response
   bool client_retry = false;
-  double work_ms = 0;          // a hint of what it costs; 0: none
-  std::uint64_t key = 0;       // what it is about; 0: none
-  bool body_incoming = false;  // the rest of its body is still to come
+  double work_ms = 0;          // hint of the request's cost; 0: none
+  std::uint64_t key = 0;       // affinity key; 0: none
+  bool body_incoming = false;  // part of the body has not been received yet
 };
 
 // A request for one of the proxy's own paths.
@@ -47,38 +47,39 @@
 
 enum class RefusalReason : std::uint8_t {
   unknown_request_class,
-  ambiguous_path,  // some server might resolve it to another request class
+  ambiguous_path,  // an endpoint might resolve it to another request class
   repeated_control_header,
-  control_header_not_forwarded,  // id or key named as a hop's own header
+  control_header_not_forwarded,  // `Connection` lists the id or the key
   missing_id,
-  id_in_flight,  // another request with this id has no response yet
+  id_in_flight,  // another request with this id is unanswered
   wrong_method,
   unexpected_body,
-  idempotency_key_mismatch,  // absent where the class needs one, or there where it takes none
+  idempotency_key_mismatch,  // missing where the class requires a key, or present where it forbids one
   unreadable_budget,
   at_capacity,
-  fleet_limit  // a limit of the whole fleet is used up
+  fleet_limit  // a fleet-wide limit is exhausted
 };
 
 struct Refusal {
   RefusalReason reason = RefusalReason::at_capacity;
-  int request_class = -1;     // -1: none, and the request is not counted
+  int request_class = -1;     // -1: unknown; such a request is not counted
   double retry_after_ms = 0;  // 0: not stated in the response
 
-  // The HTTP status of its response.
+  // The HTTP status of the response.
   [[nodiscard]] int status() const;
-  // Whether its connection ends with the response: a malformed request leaves in doubt what follows it.
+  // Whether the connection closes after the response: behind a malformed request the start of the next
+  // request is uncertain.
   [[nodiscard]] bool closes_connection() const;
 };
 
 using AdmissionResult = std::variant<AdmittedRequest, LocalPathRequest, Refusal>;
 
-// What admission depends on besides the message, as it is at this moment.
+// The proxy's state that admission depends on, at the moment of the call.
 struct AdmissionContext {
-  // Views of the ids of requests without a response.
+  // The ids of unanswered requests.
   const std::unordered_set<std::string_view>& unanswered_ids;
   bool at_capacity = false;
-  RequestFilter* fleet_limits = nullptr;  // none: no limit of a fleet holds
+  RequestFilter* fleet_limits = nullptr;  // null: no fleet-wide limits
 };
 
 class RequestAdmission {
@@ -86,7 +87,8 @@
   RequestAdmission(std::vector<RequestClassRules> classes, std::vector<std::string> tenants)
       : classes_(std::move(classes)), tenants_(std::move(tenants)) {}
 
-  // Never throws. An admitted request has used up its part of the fleet's limits; nothing else is changed.
+  // Never throws. An admitted request has consumed its quota of the fleet's limits; admit() changes nothing
+  // else.
   [[nodiscard]] AdmissionResult admit(const protocol::Message& message,
                                       const AdmissionContext& context) const;
 
--- a/src/proxy/request/filter.hpp
+++ b/src/proxy/request/filter.hpp
@@ -1,4 +1,4 @@
-// Admission by limits of the whole fleet, asked before the policy is.
+// Fleet-wide rate limits, checked before the policy decides.
 #pragma once
 
 #include <cstdint>
@@ -7,15 +7,15 @@
 
 class RequestFilter {
  public:
-  // 0: the request is admitted, and its part of the limits is used up. Otherwise ms until it may be tried
-  // again. `tenant` and `request_class` as in Request. Takes the time itself: a process that was paused must
-  // not use what it had before.
+  // Returns 0 if the request is admitted and has consumed quota, otherwise the ms until a retry. `tenant` and
+  // `request_class` as in Request. Reads the clock itself: a process resumed after a pause must not use quota
+  // that expired meanwhile.
   virtual double try_acquire(int tenant, int request_class) = 0;
-  // The policy rejected an admitted request at its arrival: its part of the limits is free again.
+  // Returns the quota of an admitted request that the policy rejected on arrival.
   virtual void release(int tenant, int request_class) = 0;
-  // A server, by the number it has at every balancer, has responded successfully.
+  // Records a successful response. `server`: the endpoint's number, the same at every balancer.
   virtual void record_success(std::uint32_t server) = 0;
-  // A successor takes over: the filter gives up its own address.
+  // On a takeover by a successor: releases the filter's own address.
   virtual void leave() = 0;
 
  protected:
--- a/src/proxy/request/forwarder.cpp
+++ b/src/proxy/request/forwarder.cpp
@@ -15,12 +15,12 @@
 namespace {
 
 constexpr double probe_limit_ms = 1000;
-// Between the last byte of a response written here and read by the client.
+// Allowed between the last written byte of a response and its arrival at the client.
 constexpr double delivery_delay_ms = 2;
-// A body that still comes is held to its client's progress, not to this.
-constexpr double most_body_ms = 3600000;
+// Deadline of a request whose body is incoming; DownstreamConnections enforces the client's progress.
+constexpr double max_body_ms = 3600000;
 
-// An attempt's id at the upstreams: its request's number above, its own among the request's attempts below.
+// AttemptId: the request's number in the upper bits, the attempt's number in the lower `attempt_bits`.
 constexpr AttemptId probe_bit = AttemptId{1} << 55;
 constexpr int attempt_bits = 3;
 static_assert(max_attempts <= 1 << attempt_bits);
@@ -31,7 +31,7 @@
 RequestNumber request_number_of(AttemptId id) { return RequestNumber{id >> attempt_bits}; }
 int attempt_of(AttemptId id) { return static_cast<int>(id & ((1 << attempt_bits) - 1)); }
 
-// The status that tells a client how the last attempt failed.
+// The status of a final response after a last attempt with this outcome.
 int failure_status(Outcome outcome) {
   if (outcome == Outcome::timeout) return 504;
   return outcome == Outcome::error ? 500 : 502;
@@ -75,7 +75,7 @@
 }
 
 void RequestForwarder::request_received(DownstreamEvent& event) {
-  bool at_capacity = static_cast<double>(in_flight_.size()) >= settings_.most_in_flight ||
+  bool at_capacity = static_cast<double>(in_flight_.size()) >= settings_.max_in_flight ||
                      unanswered_.size() >= downstream_.most_served();
   auto result = admission_.admit(
       *event.message,
@@ -102,16 +102,15 @@
 
 void RequestForwarder::dispatch(DownstreamEvent& event, const AdmittedRequest& admitted) {
   downstream_.set_request_class(event.client, admitted.request_class);
-  Request request{
-      .request_class = admitted.request_class,
-      .tenant = admitted.tenant,
-      .arrived_ms = now_ms_,
-      .deadline_ms = admitted.body_incoming ? now_ms_ + most_body_ms : due_for(admitted.budget_ms),
-      .client_retry = admitted.client_retry,
-      .work_ms = admitted.work_ms,
-      .key = admitted.key,
-      .large_body = admitted.body_incoming,
-      .body_incoming = admitted.body_incoming};
+  Request request{.request_class = admitted.request_class,
+                  .tenant = admitted.tenant,
+                  .arrived_ms = now_ms_,
+                  .deadline_ms = admitted.body_incoming ? now_ms_ + max_body_ms : due_for(admitted.budget_ms),
+                  .client_retry = admitted.client_retry,
+                  .work_ms = admitted.work_ms,
+                  .key = admitted.key,
+                  .large_body = admitted.body_incoming,
+                  .body_incoming = admitted.body_incoming};
   RequestNumber number{next_number_++};
   unanswered_ids_.insert(event.message->find(names::request_id));
   in_flight_.emplace(number, InFlightRequest{.client = event.client,
@@ -126,13 +125,13 @@
     request_filter_->release(admitted.tenant, admitted.request_class);
 }
 
-// When the final response has to be out. As the process ends, before it does: the policy and the upstream are
-// to know how little time is left, where they were told of more and the request was cut off at the end.
+// When the final response is due. A graceful shutdown shortens the budget, so that policy and endpoint see
+// the time that is left and not the client's budget.
 double RequestForwarder::due_for(double budget_ms) const {
   return std::min(now_ms_ + budget_ms - delivery_delay_ms, shutdown_.responses_due_ms());
 }
 
-// More of a request's body has come. With its last byte its time begins.
+// More of the request's body is received. The deadline starts with its last byte.
 void RequestForwarder::body_received(ClientId client) {
   auto it = unanswered_.find(client);
   if (it == unanswered_.end()) return;
@@ -154,29 +153,30 @@
   upstreams_.resume_response(attempt_id(it->second, in_flight_.at(it->second).latest_attempt));
 }
 
-// The client ended its connection, or its sending on it, before it had its response.
+// The client closed its connection, or its sending side, before the final response.
 void RequestForwarder::client_gone(ClientId client) {
   auto it = unanswered_.find(client);
-  if (it == unanswered_.end()) return;  // its response is on the way
+  if (it == unanswered_.end()) return;  // the final response is being sent
   auto number = it->second;
   const auto& request = in_flight_.at(number);
-  // Whatever the policy cancels: a body that nobody sends or reads any more would stay on its way for good.
-  bool body_on_its_way = request.body_incoming || requests_.is_responding(number);
+  // Independent of the policy's cancels: without the client neither body can ever complete.
+  bool body_streams = request.body_incoming || requests_.is_responding(number);
   unanswered_.erase(it);
   unanswered_ids_.erase(request.message->find(names::request_id));
   log_client_gone(number);
   requests_.client_left(number, now_ms_);
   abandon_unsent_attempts(number);
   if (auto left = in_flight_.find(number);
-      left != in_flight_.end() && left->second.latest_attempt >= 0 && body_on_its_way)
+      left != in_flight_.end() && left->second.latest_attempt >= 0 && body_streams)
     cancel_attempt(number, left->second.latest_attempt);
-  downstream_.respond(client, 500, "", "");  // for one that still listens
+  downstream_.respond(client, 500, "", "");  // a half-closed client still reads
 }
 
 void RequestForwarder::fail_unanswered() {
   if (!unanswered_.empty())
     log_(Level::warning,
-         std::string("ending: requests given up: ").append(std::to_string(unanswered_.size())));
+         "graceful shutdown: unanswered requests failed: " + std::to_string(unanswered_.size()),
+         {{"requests", static_cast<double>(unanswered_.size())}});
   for (auto [client, number] : std::exchange(unanswered_, {})) {
     unanswered_ids_.erase(in_flight_.at(number).message->find(names::request_id));
     requests_.client_left(number, now_ms_);
@@ -192,11 +192,11 @@
     case AttemptEvent::Kind::response_started:
       return response_started(event);
     case AttemptEvent::Kind::response_progress:
-      if (auto client = waiting_client(request_number_of(event.attempt)))
+      if (auto client = unanswered_client(request_number_of(event.attempt)))
         commands_.emplace_back(ContinueResponse{*client});
       return;
     case AttemptEvent::Kind::request_body_drained:
-      if (auto client = waiting_client(request_number_of(event.attempt)))
+      if (auto client = unanswered_client(request_number_of(event.attempt)))
         downstream_.request_body_forwarded(*client);
       return;
     case AttemptEvent::Kind::completed:
@@ -204,7 +204,7 @@
   }
 }
 
-std::optional<ClientId> RequestForwarder::waiting_client(RequestNumber number) const {
+std::optional<ClientId> RequestForwarder::unanswered_client(RequestNumber number) const {
   auto it = in_flight_.find(number);
   if (it == in_flight_.end()) return {};
   auto waiting = unanswered_.find(it->second.client);
@@ -212,18 +212,18 @@
   return it->second.client;
 }
 
-// From here on this response is the request's, whatever becomes of it.
+// The first response to start is the request's final response; if it breaks, there is no retry.
 void RequestForwarder::response_started(AttemptEvent& event) {
   auto number = request_number_of(event.attempt);
   int attempt = attempt_of(event.attempt);
-  auto client = waiting_client(number);
+  auto client = unanswered_client(number);
   if (!client || !requests_.is_open(number)) return cancel_attempt(number, attempt);
   auto& request = in_flight_.at(number);
   request.latest_attempt = attempt;
   if (!admission_.classes()[static_cast<std::size_t>(request.request_class)].streamed)
     upstreams_.set_response_due(event.attempt, request.due_ms);
   requests_.response_started(number, attempt, now_ms_);
-  abandon_unsent_attempts(number);  // hedged requests that wait; this one is complete at its server
+  abandon_unsent_attempts(number);  // hedged requests that wait for a connection
   commands_.emplace_back(BeginResponse{.client = *client, .response = std::move(event.response)});
 }
 
@@ -254,7 +254,8 @@
     if (request.message->partly_forwarded()) requests_.body_forwarded(number);
     streaming = requests_.is_responding(number) && request.latest_attempt == attempt;
   }
-  // A response needs no decision: it is forwarded, and the policy is notified that the request is closed.
+  // A response needs no decision of the policy: it is forwarded, and attempt_ended() reports the request as
+  // closed.
   if (open && streaming) {
     ClientId client = close_request(number);
     if (succeeded)
@@ -275,7 +276,7 @@
 
 // --- Actions of the policy --------------------------------------------------------------------------------
 
-// The request has its final response. Returns whose it is.
+// Removes a request with a final response from the unanswered ones. Returns its client.
 ClientId RequestForwarder::close_request(RequestNumber number) {
   const auto& request = in_flight_.at(number);
   abandon_unsent_attempts(number);
@@ -284,8 +285,8 @@
   return request.client;
 }
 
-// Nothing of a request that has its response, or whose client has left, starts afterwards, whether or not it
-// is cancelled.
+// Ends the unsent attempts of a request that is answered, or whose client has left. Holds even where the
+// settings forbid cancels: an endpoint has nothing to cancel before the request's last byte.
 void RequestForwarder::abandon_unsent_attempts(RequestNumber number) {
   for (int attempt = 0; attempt < max_attempts; ++attempt)
     upstreams_.abandon_unsent(attempt_id(number, attempt));
@@ -331,7 +332,7 @@
 
 void RequestForwarder::execute(const StartAttempt& command) {
   auto id = attempt_id(command.request, command.attempt);
-  // Its client has left, or its response has come, behind this command in the same turn.
+  // The request was answered, or its client left, in the same turn after the decision.
   if (!requests_.is_open(command.request)) {
     upstreams_.events().push_back({.attempt = id,
                                    .endpoint = command.endpoint,
@@ -352,7 +353,7 @@
                                 probe_limit_ms);
 }
 
-// An attempt completes once: one that has just timed out, broken or been abandoned has its own event.
+// Reports `cancelled` only where the attempt was not over: a completed attempt has its own event.
 void RequestForwarder::execute(const CancelAttempt& command) {
   auto id = attempt_id(command.request, command.attempt);
   if (upstreams_.cancel(id))
--- a/src/proxy/request/forwarder.hpp
+++ b/src/proxy/request/forwarder.hpp
@@ -1,6 +1,5 @@
-// The way of a request through the proxy: admitted at the edge, decided on by the policy, attempted at
-// upstreams, responded to. Hands the events of a turn to the policy, and then carries out the actions that it
-// decided on.
+// Forwards requests: admission, the policy's decisions, attempts at endpoints, the final response. Passes the
+// events of a loop turn to the policy, then executes the commands that the policy decided on.
 #pragma once
 
 #include <optional>
@@ -28,10 +27,10 @@
 
 class RequestForwarder final : RequestActions {
  public:
-  // What it works with; all of it outlives the forwarder.
+  // All parts outlive the forwarder.
   struct Parts {
     const ProxySettings& settings;
-    const double& now_ms;  // the turn's reading of the clock, in ms
+    const double& now_ms;  // time of the loop turn
     transport::DueTimes& due_times;
     Policy& policy;
     Upstreams& upstreams;
@@ -43,39 +42,40 @@
 
   RequestForwarder(const Parts& parts, Logger log);
 
-  // Asked for each request before the policy is; outlives this. None: nothing is asked.
+  // `filter`: checked for each request before the policy decides; outlives the forwarder. Null: no check.
   void set_request_filter(RequestFilter* filter) { request_filter_ = filter; }
 
-  // Events of a turn. Those of upstreams come first: what they free is there for requests that have just
-  // come.
+  // Events of a loop turn. Upstream events come first, so that new requests can use the capacity that they
+  // free.
   void upstream_event(AttemptEvent& event);
   void downstream_event(DownstreamEvent& event);
-  // The time has come at which the policy wanted to be asked again about a request.
+  // The request's next decision is due.
   void decision_due(RequestNumber number) { requests_.decision_due(number, now_ms_); }
-  // The endpoint list has changed: what waits to be sent to a server may no longer be allowed there.
+  // The endpoint list has changed: withdraws unsent attempts at endpoints that are no longer permitted.
   void endpoints_updated() { requests_.endpoints_updated(); }
-  // Carries out what the policy has decided since the last call.
+  // Executes the commands queued since the last call.
   void carry_out();
   [[nodiscard]] bool has_commands() const { return !commands_.empty(); }
 
-  // At the end of the process: responds with a failure to each request that has no final response yet.
+  // At the end of a graceful shutdown: responds with status 500 to each unanswered request.
   void fail_unanswered();
-  // Whether a request in flight has been attempted there, whatever came of it.
+  // Whether any request in flight has an attempt at `endpoint`, in flight or ended.
   [[nodiscard]] bool has_attempted(EndpointIndex endpoint) const { return requests_.has_attempted(endpoint); }
 
  private:
-  // A request's client, and its bytes as long as an attempt may need them. Its state is RequestTable's.
+  // A request's client, and its bytes for as long as an attempt may need them. RequestTable holds the state.
   struct InFlightRequest {
     ClientId client = 0;
     SharedMessage message;
-    double budget_ms = 0, due_ms = 0;
+    double budget_ms = 0;
+    double due_ms = 0;  // when the final response is due
     int request_class = 0;
-    int latest_attempt = -1;     // the one that responds, once one does
-    bool body_incoming = false;  // the rest of its body is still to come
-    int failure_status = 0;      // the status that tells best how its attempts went; 0: none has ended
+    int latest_attempt = -1;     // the attempt whose response streams, if any
+    bool body_incoming = false;  // part of the body has not been received yet
+    int failure_status = 0;      // status by the outcome of the last ended attempt; 0: none has ended
   };
 
-  // What is to be carried out, in the order in which it was decided on.
+  // Commands, executed in the order of the decisions.
   struct StartAttempt {
     RequestNumber request;
     int attempt;
@@ -90,18 +90,18 @@
     RequestNumber request;
     int attempt;
   };
-  struct SendResponse {  // a complete one
+  struct SendResponse {  // complete response
     ClientId client;
     SharedMessage response;
   };
-  struct BeginResponse {  // one that streams
+  struct BeginResponse {  // streamed response
     ClientId client;
     SharedMessage response;
   };
   struct ContinueResponse {
     ClientId client;
   };
-  struct AbortResponse {  // its upstream broke
+  struct AbortResponse {  // the upstream connection broke
     ClientId client;
   };
   struct Reject {
@@ -115,7 +115,7 @@
   using Command = std::variant<StartAttempt, StartProbe, CancelAttempt, SendResponse, BeginResponse,
                                ContinueResponse, AbortResponse, Reject, Fail>;
 
-  // RequestActions: each is queued as a command.
+  // RequestActions: queue commands.
   void start_attempt(RequestNumber number, int attempt, EndpointIndex endpoint,
                      const AttemptTimeout& timeout) override;
   void reject(RequestNumber number, double retry_after_ms, RejectionReason reason) override;
@@ -149,13 +149,13 @@
   void attempt_ended(AttemptEvent& event);
   [[nodiscard]] LoadReport load_report(const AttemptEvent& event) const;
 
-  // The log; a rejection is counted there too.
-  void log_rejection(RequestNumber number, std::string_view how, RejectionReason reason);
+  // Log lines. log_rejection() also counts the reason.
+  void log_rejection(RequestNumber number, std::string_view outcome, RejectionReason reason);
   void log_failed_attempt(RequestNumber number, int attempt, const AttemptEvent& event) const;
   void log_client_gone(RequestNumber number) const;
   [[nodiscard]] double due_for(double budget_ms) const;
-  // The client of a request that is not done; absent where there is none.
-  [[nodiscard]] std::optional<ClientId> waiting_client(RequestNumber number) const;
+  // The client of an unanswered request; absent otherwise.
+  [[nodiscard]] std::optional<ClientId> unanswered_client(RequestNumber number) const;
   ClientId close_request(RequestNumber number);
   void abandon_unsent_attempts(RequestNumber number);
 
@@ -175,7 +175,7 @@
 
   std::unordered_map<RequestNumber, InFlightRequest> in_flight_;
   std::unordered_map<ClientId, RequestNumber> unanswered_;  // by client
-  std::unordered_set<std::string_view> unanswered_ids_;     // in the bytes of their messages
+  std::unordered_set<std::string_view> unanswered_ids_;     // views into messages of in_flight_
   std::vector<Command> commands_;
   std::uint64_t next_number_ = 1;
   std::optional<RequestNumber> last_rejected_;
--- a/src/proxy/request/log.cpp
+++ b/src/proxy/request/log.cpp
@@ -1,5 +1,5 @@
-// What RequestForwarder writes to the log: one line an event, with the request's id or number. Lines below
-// the log level are not formatted.
+// The log lines of RequestForwarder: one line per event, with the request's id or number. Lines below the log
+// level are not formatted.
 #include <cmath>
 #include <string>
 
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-// With the request's id, so that it can be followed through every balancer that touched it.
-void RequestForwarder::log_rejection(RequestNumber number, std::string_view how, RejectionReason reason) {
+// Logs the client's request id, which is the same at every balancer that the request passes.
+void RequestForwarder::log_rejection(RequestNumber number, std::string_view outcome, RejectionReason reason) {
   const auto& request = in_flight_.at(number);
   auto request_class = static_cast<std::size_t>(request.request_class);
   ++counters_.request_classes[request_class].reasons[static_cast<std::size_t>(reason)];
@@ -32,28 +32,28 @@
   auto id = request.message->find(names::request_id);
   const auto& class_name = settings_.request_classes[request_class].name;
   log_(Level::debug,
-       std::string("request ").append(id) + " of " + class_name + " " + std::string(how) + ": " +
-           std::string(reason_name) + ", " + std::to_string(requests_.size()) + " in hand",
-       {{"request", id},
+       std::string("request ").append(id) + " of " + class_name + " " + std::string(outcome) + ": " +
+           std::string(reason_name) + ", " + std::to_string(requests_.size()) + " in flight",
+       {{"request_id", id},
         {"class", class_name},
         {"reason", reason_name},
-        {"in_hand", static_cast<double>(requests_.size())}});
+        {"in_flight", static_cast<double>(requests_.size())}});
 }
 
 void RequestForwarder::log_failed_attempt(RequestNumber number, int attempt,
                                           const AttemptEvent& event) const {
   if (!log_.wants(Level::debug)) return;
-  const auto& server = upstreams_.endpoints().name(event.endpoint);
-  double took_ms = now_ms_ - event.started_at_ms;
+  const auto& endpoint = upstreams_.endpoints().name(event.endpoint);
+  double duration_ms = now_ms_ - event.started_at_ms;
   log_(Level::debug,
        std::string("attempt ").append(std::to_string(attempt)) + " of request " +
-           std::to_string(to_integer(number)) + " to " + server + ": " +
-           std::string(outcome_name(event.outcome)) + " after " + rounded_ms(took_ms),
-       {{"visit", static_cast<double>(to_integer(number))},
-        {"fetch", static_cast<double>(attempt)},
-        {"server", server},
+           std::to_string(to_integer(number)) + " to " + endpoint + ": " +
+           std::string(outcome_name(event.outcome)) + " after " + rounded_ms(duration_ms),
+       {{"request", static_cast<double>(to_integer(number))},
+        {"attempt", static_cast<double>(attempt)},
+        {"endpoint", endpoint},
         {"outcome", outcome_name(event.outcome)},
-        {"ms", took_ms}});
+        {"duration_ms", duration_ms}});
 }
 
 void RequestForwarder::log_client_gone(RequestNumber number) const {
@@ -62,9 +62,9 @@
     return " " + upstreams_.endpoints().name(endpoint) + " for " + rounded_ms(now_ms_ - sent_at_ms);
   };
   log_(Level::debug,
-       std::string("request ").append(std::to_string(to_integer(number))) + ": its client has gone; out at" +
-           requests_.describe_attempts(number, describe),
-       {{"visit", static_cast<double>(to_integer(number))}});
+       std::string("request ").append(std::to_string(to_integer(number))) +
+           ": client disconnected; attempts in flight:" + requests_.describe_attempts(number, describe),
+       {{"request", static_cast<double>(to_integer(number))}});
 }
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/request/shared_message.hpp
+++ b/src/proxy/request/shared_message.hpp
@@ -1,4 +1,4 @@
-// A message that two sides work on at a time.
+// Shared ownership of a message that is received and forwarded at the same time.
 #pragma once
 
 #include <memory>
@@ -7,8 +7,7 @@
 
 namespace meadowgauge::proxy {
 
-// A message whose bytes one side takes in while the other passes them on: both own it, for as long as they
-// need it.
+// One connection receives into the message while another forwards from it. Both own it.
 using SharedMessage = std::shared_ptr<protocol::Message>;
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/request/table.hpp
+++ b/src/proxy/request/table.hpp
@@ -1,6 +1,6 @@
-// The requests that have not been forgotten yet, each with its state, and when the policy is to be asked
-// about it again. The proxy and the simulator's adapter both use it: events go in, whatever wire they came
-// by, and actions come out. It decides nothing. All times are in ms of the caller's clock.
+// The state of each request, and the time of the policy's next decision about it. The proxy and the
+// simulator's adapter share this table: it passes events to the policy and carries out the decisions as
+// actions. All times are in ms of the caller's clock.
 #pragma once
 
 #include <cstdint>
@@ -12,40 +12,39 @@
 
 namespace meadowgauge::proxy {
 
-// A request's number, given out by the caller and never twice. It has to fit in the 56 bits of a due time's
-// key.
+// Identifies a request; assigned by the caller, never reused. Fits in the 56 bits of a DueKey.
 enum class RequestNumber : std::uint64_t {};
 
 constexpr std::uint64_t to_integer(RequestNumber number) { return static_cast<std::uint64_t>(number); }
 
-// How far a request has come. It only ever moves on to a later state. Whether an attempt of it is still
-// waiting for a connection is known to Upstreams alone.
+// The state of a request; transitions go to later states only. The state of each attempt is
+// UpstreamAttempt::Phase.
 enum class RequestState : std::uint8_t {
-  received,    // the policy has not been asked about it yet
-  admitted,    // it waits: the policy has asked for time before its first attempt
-  in_flight,   // an attempt has been started, or several
-  responding,  // one attempt's response is being sent to the client as it comes
-  done         // it has its final response, or its client has left; attempts may still have to end
+  received,    // before the policy's first decision
+  admitted,    // waiting: the policy has postponed the first attempt
+  in_flight,   // at least one attempt has been started
+  responding,  // one attempt's response streams to the client
+  done         // the final response is decided, or the client has left; attempts may still be in flight
 };
 
-// What the owner carries out for the policy. Called in the order in which things are to happen, and from
-// within the events of RequestTable.
+// Carries out the policy's decisions. Called from within the events of RequestTable, in the order of
+// execution.
 class RequestActions {
  public:
-  // Starts the request's attempt of that number, from 0. `timeout` tells how long it may take.
+  // Starts an attempt of the request. `attempt`: 0 for the first. `timeout`: its time limits.
   virtual void start_attempt(RequestNumber request, int attempt, EndpointIndex endpoint,
                              const AttemptTimeout& timeout) = 0;
-  // The final response: rejected, with the ms after which the client may try again (0: not stated).
+  // Final response: rejected. `retry_after_ms`: for the Retry-After header; 0: no header.
   virtual void reject(RequestNumber request, double retry_after_ms, RejectionReason reason) = 0;
-  // The final response: its attempts failed.
+  // Final response: all attempts failed.
   virtual void fail(RequestNumber request, RejectionReason reason) = 0;
-  // An attempt in flight is no longer needed; its end is still reported with attempt_ended().
+  // Cancels an attempt in flight. The owner still reports attempt_ended() for it.
   virtual void cancel_attempt(RequestNumber request, int attempt) = 0;
-  // An attempt that waits to be sent must not be any more: it ends as never sent. One that was sent goes on.
+  // Ends an attempt as never sent, unless its request is sent already.
   virtual void withdraw_attempt(RequestNumber, int) {}
-  // Asks that endpoint for its health or its load.
+  // Sends a health check or a load probe.
   virtual void probe(EndpointIndex endpoint) = 0;
-  // It is done and has no attempt in flight: the table has forgotten it, and its bytes may be freed.
+  // The request is done without an attempt in flight. The table has erased it; its bytes may be freed.
   virtual void released(RequestNumber) {}
 
  protected:
@@ -54,41 +53,41 @@
 
 class RequestTable {
  public:
-  static constexpr std::uint8_t due_kind = 0;  // of its due times
+  static constexpr std::uint8_t due_kind = 0;  // DueKey kind
 
-  // All of these outlive it.
+  // All parameters outlive the table.
   RequestTable(Policy& policy, transport::DueTimes& due, RequestActions& actions)
       : policy_(policy), due_(due), actions_(actions) {}
   RequestTable(const RequestTable&) = delete;
   RequestTable& operator=(const RequestTable&) = delete;
 
-  // Events. Those of a request that is not in the table change nothing.
+  // Events. An event of an unknown request has no effect.
 
-  // A new request; one whose number is in the table already is left as it is.
+  // A new request. No effect if the number is in the table already.
   void request_arrived(RequestNumber number, const Request& request, double now_ms);
   void attempt_ended(RequestNumber number, const AttemptResult& result, double now_ms);
-  // The response of that attempt streams to the client: it is the request's from now on.
+  // The response of `attempt` starts to stream to the client. No other attempt can answer from now on.
   void response_started(RequestNumber number, int attempt, double now_ms);
-  // The client has gone.
+  // The client has closed its connection.
   void client_left(RequestNumber number, double now_ms);
-  // All of the body is here, of a request that arrived before it was. `due`: when its client stops waiting.
-  // Returns how many ms its attempt may take from now on.
+  // The last byte of a streamed request body has been received. `deadline_ms`: the request's deadline, which
+  // starts now. Returns the time limit of the current attempt, in ms from now.
   double body_complete(RequestNumber number, double deadline_ms, double now_ms);
-  // The endpoint list has changed: withdraws what must not be sent there any more.
+  // The endpoint list has changed: withdraws unsent attempts at endpoints that are no longer permitted.
   void endpoints_updated();
-  // Part of its body has been passed on, so that it can't be sent once more.
+  // Part of the body is forwarded and no longer held: the request can't be retried.
   void body_forwarded(RequestNumber number);
-  // A due time of `due_kind` has been reached.
+  // The request's due time has been reached.
   void decision_due(RequestNumber number, double now_ms);
 
-  // Whether this request still waits for its final response.
+  // Whether the request is in the table and not done.
   [[nodiscard]] bool is_open(RequestNumber number) const;
-  // Whether a response streams to its client.
+  // Whether a response streams to the client.
   [[nodiscard]] bool is_responding(RequestNumber number) const;
   [[nodiscard]] std::size_t size() const { return requests_.size(); }
-  // Whether a request in the table has been attempted there, whatever came of it.
+  // Whether any request in the table has an attempt at `endpoint`, in flight or ended.
   [[nodiscard]] bool has_attempted(EndpointIndex endpoint) const;
-  // For the log: describe(endpoint, sent_at) of each attempt in flight, one behind the other.
+  // For the log: the concatenated describe(endpoint, sent_at_ms) of the attempts in flight.
   template <class F>
   [[nodiscard]] std::string describe_attempts(RequestNumber number, F&& describe) const {
     std::string all;
@@ -102,14 +101,14 @@
   struct Entry {
     Request request;
     RequestState state = RequestState::received;
-    double due_ms = transport::DueTimes::none;  // of the next decision
+    double due_ms = transport::DueTimes::none;  // time of the next decision
   };
   using Entries = std::unordered_map<RequestNumber, Entry>;
 
   [[nodiscard]] static RequestState next_state(const Entry& entry, const Decision& decision);
   void carry_out(Entries::iterator it, const Decision& decision, double now_ms);
   void set_due(RequestNumber number, Entry& entry, double at_ms);
-  // Asks the policy how long the newest attempt may take, and when the next decision is due.
+  // Takes the time limit of the latest attempt from the policy, and schedules the next decision.
   AttemptTimeout schedule_decision(RequestNumber number, Entry& entry, double now_ms);
 
   Policy& policy_;
--- a/tests/e2e/shutdown_test.cpp
+++ b/tests/e2e/shutdown_test.cpp
@@ -202,7 +202,7 @@
   client.send(http_request("/pay", 60000));
   EXPECT_EQ(proxy.get_status("/-/ready"), 200);
   proxy.terminate();
-  int given_up = log_time_ms(proxy.wait_for_log_line("ending: requests given up: 1"));
+  int given_up = log_time_ms(proxy.wait_for_log_line("graceful shutdown: unanswered requests failed: 1"));
   EXPECT_TRUE(upstream.wait_for_end());
   EXPECT_EQ(status_of(client.receive_message()), 500);
   EXPECT_EQ(client.receive_until_end(), "");
--- a/tests/proxy/proxy_settings_test.cpp
+++ b/tests/proxy/proxy_settings_test.cpp
@@ -20,7 +20,7 @@
   EXPECT_EQ(settings.dial_timeout_ms, 1000);
   EXPECT_EQ(settings.idle_timeout_ms, 30000);
   EXPECT_EQ(settings.settle_ms, 20);
-  EXPECT_EQ(settings.most_in_flight, 20000);
+  EXPECT_EQ(settings.max_in_flight, 20000);
   EXPECT_EQ(settings.longest_client_timeout_ms(), 0);
 }
 
@@ -66,7 +66,7 @@
   EXPECT_EQ(settings.dial_timeout_ms, 300);
   EXPECT_EQ(settings.idle_timeout_ms, 4000);
   EXPECT_EQ(settings.settle_ms, 0);
-  EXPECT_EQ(settings.most_in_flight, 50);
+  EXPECT_EQ(settings.max_in_flight, 50);
 }
 
 TEST(ProxySettings, LogsUnreadableNumbersAndKeepsTheirDefaults) {
@@ -79,7 +79,7 @@
       {{"limits.dial_timeout_ms", "soon"}, {"limits.settle_ms", "20ms"}, {"limits.most_held", "inf"}}, log);
   EXPECT_EQ(settings.dial_timeout_ms, 1000);
   EXPECT_EQ(settings.settle_ms, 20);
-  EXPECT_EQ(settings.most_in_flight, 20000);
+  EXPECT_EQ(settings.max_in_flight, 20000);
   EXPECT_EQ(lines,
             "setting limits.dial_timeout_ms can't be read: soon\n"
             "setting limits.settle_ms can't be read: 20ms\n"
--- a/tests/proxy/request/request_table_test.cpp
+++ b/tests/proxy/request/request_table_test.cpp
@@ -50,7 +50,7 @@
   EndpointIndex endpoint_ = no_endpoint;
 };
 
-TEST_F(RequestTableTest, ARequestIsOpenUntilItsAttemptSucceedsAndThenForgotten) {
+TEST_F(RequestTableTest, RequestIsOpenUntilSuccessAndThenErased) {
   EXPECT_FALSE(table_.is_open(number));
   table_.request_arrived(number, request, 0);
   EXPECT_TRUE(table_.is_open(number));
@@ -66,7 +66,7 @@
   EXPECT_EQ(due_.next(), transport::DueTimes::none);
 }
 
-TEST_F(RequestTableTest, ARespondingRequestStaysSoUntilItIsDone) {
+TEST_F(RequestTableTest, RespondingRequestStaysSoUntilDone) {
   table_.request_arrived(number, request, 0);
   table_.response_started(number, 0, 5);
   EXPECT_TRUE(table_.is_open(number));
@@ -76,7 +76,7 @@
   table_.client_left(number, 7);
   EXPECT_FALSE(table_.is_open(number));
   EXPECT_FALSE(table_.is_responding(number));
-  table_.response_started(number, 0, 8);  // done is the last state
+  table_.response_started(number, 0, 8);  // done is final
   EXPECT_FALSE(table_.is_responding(number));
   EXPECT_EQ(table_.size(), 1U);  // its attempt has not ended
   table_.attempt_ended(number, {.attempt = 0, .outcome = Outcome::cancelled, .load_report = {}}, 9);
@@ -92,7 +92,7 @@
   EXPECT_TRUE(table_.has_attempted(first));
 }
 
-TEST_F(RequestTableTest, EventsOfARequestThatIsNotThereChangeNothing) {
+TEST_F(RequestTableTest, EventsOfAnUnknownRequestChangeNothing) {
   table_.attempt_ended(number, {.attempt = 0, .load_report = {}}, 1);
   table_.response_started(number, 0, 1);
   table_.client_left(number, 1);
