--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -25,7 +25,7 @@
       buffers_(setup.memory_mb * 1024 * 1024 / 2 / transport::buffer_size),
       pool_(buffers_),
       policy_(setup.settings, setup.seed, now_ms_),
-      upstreams_(loop, pool_, due_, now_ms_,
+      upstreams_({.loop = loop, .buffers = pool_, .due_times = due_, .now_ms = now_ms_},
                  {.dial_timeout_ms = proxy_settings_.dial_timeout_ms,
                   .idle_timeout_ms = proxy_settings_.idle_timeout_ms,
                   .settle_ms = proxy_settings_.settle_ms,
--- a/src/proxy/upstream/attempt.cpp
+++ b/src/proxy/upstream/attempt.cpp
@@ -8,11 +8,10 @@
 
 namespace {
 
-// A response that streams ends when nothing more of it comes for this long, though there is room.
+// Maximum time between two bytes of a streamed response that is not paused.
 constexpr double stream_stall_ms = 10000;
-// One that is no larger than what is held at a time is owed by the client timeout. While it still grows it
-// may be a large one that has just begun: it has so long from byte to byte, and so much beyond that time at
-// most.
+// A streamed response that would fit in the buffer is due at its request's deadline. A growing response may
+// turn out larger: it gets `late_byte_ms` from byte to byte, up to `max_late_ms` past the deadline.
 constexpr double late_byte_ms = 200;
 constexpr double max_late_ms = 400;
 
@@ -47,16 +46,16 @@
   phase_ = Phase::streaming_response;
 }
 
-// What waited for a connection when the window of its idempotency key ended went out all the same when the
-// connection came up, and ran a second time.
+// `send_by_ms` bounds an unsent attempt: sent after the window of its idempotency key, the request could run
+// a second time.
 double UpstreamAttempt::give_up_at_ms() const {
   if (is_sent()) return deadlines_.limit_at_ms;
   double sent_by_ms = std::min(deadlines_.limit_at_ms, deadlines_.send_by_ms);
   return awaits_connection() ? std::min(sent_by_ms, deadlines_.connect_by_ms) : sent_by_ms;
 }
 
-// A corrupted response of unknown length that never ended held its client for ten seconds, long past its
-// time.
+// Bounds small responses by the deadline: a corrupted response of unknown length may never end, and
+// `stream_stall_ms` alone would keep the client waiting.
 double UpstreamAttempt::stall_at_ms(double now_ms, bool large) const {
   if (phase_ == Phase::response_paused) return transport::DueTimes::none;
   double stall_at_ms = now_ms + stream_stall_ms;
--- a/src/proxy/upstream/attempt.hpp
+++ b/src/proxy/upstream/attempt.hpp
@@ -1,5 +1,5 @@
-// One attempt of a request, or one health check, at an endpoint: how far it has come, and when it is given
-// up. Values only: it knows connections by their ids. All times are in ms of the turn's clock.
+// One attempt of a request, or one health check, at an endpoint: its phase and its timeouts. Does no I/O and
+// refers to connections by id. All times are in ms of the loop turn's clock.
 #pragma once
 
 #include <cstddef>
@@ -12,50 +12,49 @@
 
 namespace meadowgauge::proxy {
 
-// Given out by whoever starts the attempt, and never twice.
+// Assigned by the caller that starts the attempt; never reused.
 using AttemptId = std::uint64_t;
-// Of a connection to an endpoint; never given out twice, nor 0.
+// Identifies a connection to an endpoint; never 0, never reused.
 using ConnectionId = std::uint64_t;
 
-// What has happened to an attempt.
+// A change in an attempt.
 struct AttemptEvent {
   enum class Kind : std::uint8_t {
-    completed,            // it is over; an attempt has one such event at most, its last
-    response_started,     // its response is to go out as it comes
-    response_progress,    // more of that response is there
-    request_body_drained  // what was held of the request's body has been passed on: there is room for more
+    completed,            // the attempt is over; its last event, at most once
+    response_started,     // the response starts to stream
+    response_progress,    // more of a streamed response is received
+    request_body_drained  // the buffered part of the request's body is forwarded: more can be received
   };
   Kind kind = Kind::completed;
   AttemptId attempt = 0;
   EndpointIndex endpoint = no_endpoint;
-  Outcome outcome = Outcome::error;  // of one that is completed
-  // With `completed` a complete one, where one came that has not been started before; with
-  // `response_started` the one that comes.
+  Outcome outcome = Outcome::error;  // with `completed` only
+  // With `completed`: the complete response, unless it was streamed or there is none. With
+  // `response_started`: the response that streams.
   SharedMessage response = {};
-  double started_at_ms = 0;  // with these two kinds
+  double started_at_ms = 0;  // start of the attempt, with `completed` and `response_started` only
 };
 
-// How long an attempt may take, from its start.
+// Time limits of an attempt, in ms from its start.
 struct AttemptLimits {
   double limit_ms = 0;
-  // Its last byte is written by then, or it ends as never sent: behind a wait for a connection, or for room
-  // to write.
+  // An attempt whose last byte is not written by then ends as never sent.
   double send_by_ms = transport::DueTimes::none;
-  // The time budget that the endpoint is told of a request whose body is still coming.
+  // The time budget in the request's header where the body is incoming.
   double streaming_budget_ms = 0;
 };
 
 class UpstreamAttempt {
  public:
-  // Each goes to a later one alone, but for the last two, which alternate.
+  // Transitions go to later phases only, but the last two alternate.
   enum class Phase : std::uint8_t {
     awaiting_connection,
-    sending_request,     // on a connection; its last byte is not written yet
-    awaiting_response,   // the request is sent; the response is held until it is complete
-    streaming_response,  // the response goes out as it comes
-    response_paused      // as much of it is held as may be: nothing is read until that has been passed on
+    sending_request,     // on a connection; the last byte is not written yet
+    awaiting_response,   // the request is sent; the response is buffered until complete
+    streaming_response,  // the response is forwarded as it is received
+    response_paused      // the buffer is full: no reads until the client has taken it
   };
-  // Points in time.
+  // Points in time, in ms.
   struct Deadlines {
     double started_at_ms = 0;
     double limit_at_ms = 0;
@@ -69,15 +68,15 @@
   [[nodiscard]] UpstreamRequest& request() { return request_; }
   [[nodiscard]] bool is_health_check() const { return request_.is_health_check(); }
   [[nodiscard]] Phase phase() const { return phase_; }
-  // Its connection; 0 while it awaits one.
+  // The id of its connection; 0 while awaiting a connection.
   [[nodiscard]] ConnectionId connection() const { return connection_; }
   [[nodiscard]] bool awaits_connection() const { return phase_ == Phase::awaiting_connection; }
-  // Its request's last byte is written: the endpoint may have run it.
+  // The request's last byte is written: the endpoint may have executed it.
   [[nodiscard]] bool is_sent() const { return phase_ >= Phase::awaiting_response; }
-  // Its response goes to its client as it comes, or waits for it.
+  // The response streams to the client, or is paused.
   [[nodiscard]] bool streams_response() const { return phase_ >= Phase::streaming_response; }
 
-  // The steps from phase to phase.
+  // Transitions.
   void connected(ConnectionId connection);
   void request_sent();
   void stream_response();
@@ -87,19 +86,18 @@
   [[nodiscard]] double started_at_ms() const { return deadlines_.started_at_ms; }
   [[nodiscard]] double limit_at_ms() const { return deadlines_.limit_at_ms; }
   void set_limit_at_ms(double at_ms) { deadlines_.limit_at_ms = at_ms; }
-  // A response that streams is to be complete by then, unless it is larger than what is held at a time.
+  // Deadline of a streamed response that fits in the buffer.
   void set_response_due_at_ms(double at_ms) { response_due_at_ms_ = at_ms; }
   void response_received(std::size_t bytes) { response_bytes_ += bytes; }
 
-  // When it is given up unless its phase changes before; for phases before the response streams.
+  // When the attempt times out in its present phase; for the phases before streaming.
   [[nodiscard]] double give_up_at_ms() const;
-  // The same while the response streams and nothing more of it comes. `large`: its head tells that it is
-  // larger than what is held at a time.
+  // When a streamed response times out unless more is received. `large`: by its head it exceeds the buffer.
   [[nodiscard]] double stall_at_ms(double now_ms, bool large) const;
-  // Given up now, whether it ends as never sent: the endpoint can't have run it, or was not to any more.
+  // Whether a timeout now ends the attempt as never sent: no complete request has reached the endpoint.
   [[nodiscard]] bool is_never_sent(double now_ms) const;
 
-  // When it falls due, as the owner has recorded it with DueTimes.
+  // The due time that the owner has set in DueTimes.
   [[nodiscard]] double& due_ms() { return due_ms_; }
   [[nodiscard]] double due_ms() const { return due_ms_; }
 
--- a/src/proxy/upstream/connection_pool.cpp
+++ b/src/proxy/upstream/connection_pool.cpp
@@ -48,12 +48,13 @@
   auto fd = Stream::dial(*address);
   while (!fd && errno == EMFILE && (shed() || free_descriptor_())) fd = Stream::dial(*address);
   if (!fd) {
-    log_(Level::debug, endpoints_.name(endpoint) + ": no connection: " + std::strerror(errno));
+    log_dial_failed(endpoint, errno);
     return false;
   }
   auto id = next_id_++;
-  auto connection = std::make_unique<UpstreamConnection>(loop_, buffers_, handler_, id, endpoint,
-                                                         endpoints_.generation(endpoint), std::move(fd));
+  auto connection = std::make_unique<UpstreamConnection>(
+      UpstreamConnection::Parts{.loop = loop_, .buffers = buffers_, .handler = handler_}, id, endpoint,
+      endpoints_.generation(endpoint), std::move(fd));
   ++counters(endpoint).dialling;
   ++counters(endpoint).open;
   set_due(*connection, now_ms_ + settings_.dial_timeout_ms);
@@ -61,6 +62,13 @@
   return true;
 }
 
+void ConnectionPool::log_dial_failed(EndpointIndex endpoint, int error) const {
+  const auto& name = endpoints_.name(endpoint);
+  std::string_view reason = std::strerror(error);
+  log_(Level::debug, std::string("endpoint ").append(name).append(" dial failed: ").append(reason),
+       {{"endpoint", name}, {"reason", reason}});
+}
+
 void ConnectionPool::dial_succeeded(UpstreamConnection& connection) {
   received_from(connection.endpoint());
   --counters(connection.endpoint()).dialling;
@@ -68,7 +76,7 @@
   connection.become_idle();
 }
 
-// An end that came along with a response makes no event of its own any more.
+// Asks the socket as well: an end that arrived together with the response raises no further event.
 bool ConnectionPool::is_usable(const UpstreamConnection& connection) const {
   return connection.generation() == endpoints_.generation(connection.endpoint()) &&
          connection.stream().quiet();
@@ -82,7 +90,7 @@
       close(connection);
       continue;
     }
-    // The older ones stay, unused: how they end tells whether the limit still holds.
+    // Older connections stay in the pool, unused: IdleTimeoutEstimator learns from how they end.
     if (now_ms_ - idle.back().since_ms >= idle_timeout_.usable_ms(now_ms_)) return nullptr;
     idle.pop_back();
     return &connection;
@@ -131,8 +139,8 @@
   while (!idle.empty()) close(at(idle.back().id));
 }
 
-// What is idle may be cut off without a word: it would be reset by the first request written to it once the
-// machine is back, and a non-idempotent one would be lost.
+// A silent endpoint may have lost its idle connections without closing them. The first request written to
+// such a connection is reset, and a non-idempotent request can't be retried then.
 void ConnectionPool::close_idle_if_silent(EndpointIndex endpoint, double since_ms) {
   if (counters(endpoint).last_received_ms <= since_ms) close_idle(endpoint);
 }
@@ -144,9 +152,9 @@
       close(at(endpoint.idle.front().id));
 }
 
-void ConnectionPool::set_max_connections(std::size_t most) {
-  settings_.max_connections = most;
-  while (connections_.size() > most && shed()) {
+void ConnectionPool::set_max_connections(std::size_t max_connections) {
+  settings_.max_connections = max_connections;
+  while (connections_.size() > max_connections && shed()) {
   }
 }
 
@@ -155,12 +163,12 @@
   for (const auto& endpoint : by_endpoint_)
     if (!endpoint.idle.empty() && (!oldest || endpoint.idle.front().since_ms < oldest->since_ms))
       oldest = &endpoint.idle.front();
-  UpstreamConnection* spared = oldest ? &at(oldest->id) : nullptr;
-  if (!spared)
+  UpstreamConnection* candidate = oldest ? &at(oldest->id) : nullptr;
+  if (!candidate)
     for (const auto& [id, connection] : connections_)
-      if (connection->state() == State::settling) spared = connection.get();
-  if (spared) close(*spared);
-  return spared != nullptr;
+      if (connection->state() == State::settling) candidate = connection.get();
+  if (candidate) close(*candidate);
+  return candidate != nullptr;
 }
 
 std::string ConnectionPool::broken_invariant() const {
--- a/src/proxy/upstream/connection_pool.hpp
+++ b/src/proxy/upstream/connection_pool.hpp
@@ -1,5 +1,5 @@
-// All connections to endpoints: dials them, keeps those that are idle for the next attempt, and closes what
-// is too old, too many or of an earlier process. What goes over them is not its business.
+// The pool of connections to endpoints: dials, keeps idle connections for reuse, and closes connections that
+// are too old, too many or of an earlier incarnation. Does not read or write on them.
 #pragma once
 
 #include <cstddef>
@@ -20,82 +20,83 @@
 // Times are in ms.
 struct ConnectionPoolSettings {
   double dial_timeout_ms = 1000;
-  double idle_timeout_ms = 30000;     // endpoints close idle connections after this
-  double settle_ms = 20;              // between a response and the connection's next request
-  std::size_t max_connections = 400;  // to all endpoints together
+  double idle_timeout_ms = 30000;     // after which endpoints close idle connections
+  double settle_ms = 20;              // minimum between a response and the connection's next request
+  std::size_t max_connections = 400;  // over all endpoints
 };
 
-// The only owner of the connections: others hold their ids, or a reference within a turn. A connection is
-// given back in close() alone, and destroyed at the end of the turn.
+// The only owner of the connections: callers hold ids, or a reference within a loop turn. close() removes a
+// connection; destroy_closed() destroys it at the end of the turn.
 class ConnectionPool {
  public:
-  static constexpr std::uint8_t due_kind = 2;  // of its due times; their number is the connection's id
+  static constexpr std::uint8_t due_kind = 2;  // DueKey kind; the number is the ConnectionId
 
-  // Where connections live and what they use; all of it outlives the pool.
+  // All parts outlive the pool.
   struct Parts {
     transport::Loop& loop;
     transport::Pool& buffers;
     transport::DueTimes& due_times;
-    const double& now_ms;  // the turn's reading of the clock
+    const double& now_ms;  // time of the loop turn
     const EndpointSlots& endpoints;
     UpstreamConnectionHandler& handler;
   };
-  // `free_descriptor` closes a connection of another kind for the sake of a dial; false: there is none.
+  // `free_descriptor`: closes a downstream connection so that a dial gets its descriptor; false if none can
+  // be closed.
   ConnectionPool(const Parts& parts, const ConnectionPoolSettings& settings, Logger log,
                  std::function<bool()> free_descriptor);
 
-  // That index is another server's from now on: nothing is left of the one before.
+  // Clears the state of a reused index. Its former endpoint has no connections left.
   void reset_endpoint(EndpointIndex endpoint);
 
-  // A connection that is not closed; null where there is none of that id.
+  // The open connection with that id; null if there is none.
   [[nodiscard]] UpstreamConnection* find(ConnectionId id) const;
   [[nodiscard]] UpstreamConnection& at(ConnectionId id) const { return *connections_.at(id); }
-  // Calls f(UpstreamConnection&) for each. `f` must not close any.
+  // Calls f(UpstreamConnection&) for each connection. `f` must not close connections.
   template <class F>
   void each(F&& f) const {
     for (const auto& [id, connection] : connections_) f(*connection);
   }
   [[nodiscard]] std::size_t size() const { return connections_.size(); }
-  // Connections to that endpoint, and how many of them are still dialling.
+  // The endpoint's connections, and how many of them are dialling.
   [[nodiscard]] int open(EndpointIndex endpoint) const { return counters(endpoint).open; }
   [[nodiscard]] int dialling(EndpointIndex endpoint) const { return counters(endpoint).dialling; }
 
-  // Starts a dial, in whose place an idle connection may be closed. False: there is no address, no room or no
-  // descriptor, or the system refused at once.
+  // Starts a dial; closes an idle connection if the limit is reached. False: no address, no capacity, no
+  // descriptor, or connect() failed at once.
   bool dial(EndpointIndex endpoint);
-  // A dial has come up: the connection is idle, and can be used or kept.
+  // From dialling to idle. The caller uses the connection or keeps it with keep_idle().
   void dial_succeeded(UpstreamConnection& connection);
-  // It is of the present process, and the other side has neither ended it nor sent anything.
+  // Whether the connection is to the present incarnation, still open, and without unexpected bytes.
   [[nodiscard]] bool is_usable(const UpstreamConnection& connection) const;
-  // Takes the idle connection used last out of the pool; null where none is young enough to be used.
+  // Takes the most recently used idle connection out of the pool; null if none is young enough.
   UpstreamConnection* take_idle(EndpointIndex endpoint);
   // Keeps an idle connection for the next attempt.
   void keep_idle(UpstreamConnection& connection);
-  // Its response has been taken: it settles until it falls due.
+  // From in_flight to settling, for `settle_ms`.
   void settle(UpstreamConnection& connection);
-  // It has settled: it is idle, and can be used or kept.
+  // From settling to idle. The caller uses the connection or keeps it with keep_idle().
   void settled(UpstreamConnection& connection);
-  // Bytes, or a connection that came up, are a sign of life.
+  // The endpoint has sent bytes or accepted a dial.
   void received_from(EndpointIndex endpoint) { counters(endpoint).last_received_ms = now_ms_; }
-  // Of no effect on one that is closed.
+  // No effect on a closed connection.
   void close(UpstreamConnection& connection);
-  // The same for an idle one that the other side has ended: how old it was tells of its idle timeout.
+  // Closes an idle connection that the endpoint has closed; IdleTimeoutEstimator records its idle time.
   void close_ended_idle(UpstreamConnection& connection);
 
-  // Closes all idle connections to that endpoint.
+  // Closes all idle connections of the endpoint.
   void close_idle(EndpointIndex endpoint);
-  // The same where nothing has been received from it since then, on any connection.
+  // Closes them only if nothing has been received from the endpoint after `since_ms`, on any connection.
   void close_idle_if_silent(EndpointIndex endpoint, double since_ms);
-  // Closes what is idle for too long to be used again. To be called now and then.
+  // Closes connections that have been idle for too long to be reused. Called periodically.
   void close_expired();
-  // So many connections from now on; those idle longest make way.
-  void set_max_connections(std::size_t most);
-  // Closes the connection that can be spared best. False: there is none.
+  // Sets the limit; closes the oldest idle connections above it.
+  void set_max_connections(std::size_t max_connections);
+  // Closes the oldest idle connection, or else a settling one. False: there is neither.
   bool shed();
-  // Frees the connections that were closed in this turn.
+  // Destroys the connections that were closed in this loop turn.
   void destroy_closed() { closed_.clear(); }
 
-  // Empty where all invariants hold, otherwise what is broken. For tests, between turns.
+  // The first broken invariant; empty if all hold. For tests, between loop turns.
   [[nodiscard]] std::string broken_invariant() const;
 
  private:
@@ -105,9 +106,9 @@
   };
   struct EndpointCounters {
     int dialling = 0;
-    int open = 0;                      // those that dial among them
-    double last_received_ms = 0;       // the last sign of life
-    std::vector<IdleConnection> idle;  // the longest idle first
+    int open = 0;                      // includes dialling
+    double last_received_ms = 0;       // time of the last received bytes or dial
+    std::vector<IdleConnection> idle;  // oldest first
   };
   [[nodiscard]] EndpointCounters& counters(EndpointIndex endpoint) {
     return by_endpoint_[position_of(endpoint)];
@@ -116,6 +117,8 @@
     return by_endpoint_[position_of(endpoint)];
   }
   void set_due(UpstreamConnection& connection, double at_ms);
+  // `error`: an errno value.
+  void log_dial_failed(EndpointIndex endpoint, int error) const;
   [[nodiscard]] std::string broken_invariant(EndpointIndex endpoint) const;
 
   transport::Loop& loop_;
@@ -129,7 +132,7 @@
   std::function<bool()> free_descriptor_;
   IdleTimeoutEstimator idle_timeout_;
   std::unordered_map<ConnectionId, std::unique_ptr<UpstreamConnection>> connections_;
-  std::vector<std::unique_ptr<UpstreamConnection>> closed_;  // in this turn
+  std::vector<std::unique_ptr<UpstreamConnection>> closed_;  // in this loop turn
   std::vector<EndpointCounters> by_endpoint_;
   ConnectionId next_id_ = 1;
 };
--- a/src/proxy/upstream/exchange.cpp
+++ b/src/proxy/upstream/exchange.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-// Reads of one connection before others have their turn.
+// Reads of one connection per loop turn, for fairness.
 constexpr int reads_per_turn = 8;
-// A response of unknown length is held this long at most, so that its first bytes don't wait for its last.
+// A response of unknown length streams after this time, even if the buffer is not full.
 constexpr double max_held_ms = 200;
 
 constexpr int status_ok = 200;
@@ -29,7 +29,7 @@
   return response.complete() && response.status() < status_ok;
 }
 
-// Not to be understood, or more than may be held of a response like it.
+// Malformed, or larger than the buffer without being allowed to stream.
 bool is_invalid(const Message& response, const UpstreamAttempt& attempt) {
   if (response.fault() != protocol::Fault::none) return true;
   bool may_stream = response.status() == status_ok && !attempt.is_health_check() && attempt.is_sent();
@@ -58,7 +58,7 @@
   const auto& host = address ? address->text() : endpoints_.name(attempt.endpoint());
   auto& out = connection.stream().out();
   if (!attempt.request().write_start(out, host, attempt.limit_at_ms() - now_ms_)) {
-    out.clear();  // nothing of it has gone out
+    out.clear();  // no byte is sent yet
     connections_.close(connection);
     return complete(entry, Outcome::unreachable);
   }
@@ -107,7 +107,7 @@
   if (take_received(connection, entry)) connection.stream().again(EPOLLIN);
 }
 
-// Takes what has come of the response. False: it is over, or there is no room for more just now.
+// Parses the received bytes of the response. False: the attempt is over, or the buffer is full.
 bool Upstreams::take_received(UpstreamConnection& connection, AttemptEntry entry) {
   auto& attempt = entry->second;
   if (attempt.phase() == UpstreamAttempt::Phase::response_paused) return false;
@@ -146,7 +146,8 @@
   return attempt.phase() != UpstreamAttempt::Phase::response_paused && !response.out_of_buffers();
 }
 
-// Whether a response that is not complete is to stream can be told from its head, or from how long it takes.
+// Streams a response whose head announces more than the buffer holds. A response of unknown length streams
+// later, see stream_held_responses().
 void Upstreams::response_head_received(UpstreamConnection& connection, AttemptEntry entry) {
   const auto& attempt = entry->second;
   const auto& response = connection.response();
@@ -167,7 +168,7 @@
   });
 }
 
-// From here on the response is its client's: what has come goes out, and the rest as it comes.
+// Starts to forward the response: the buffered part now, the rest as it is received.
 void Upstreams::stream_response(UpstreamConnection& connection, AttemptEntry entry) {
   auto& [id, attempt] = *entry;
   attempt.stream_response();
@@ -209,7 +210,7 @@
 
 // --- Its end ---------------------------------------------------------------------------------------------
 
-// Once sent, the request may have run.
+// A sent request may have been executed.
 void Upstreams::response_invalid(UpstreamConnection& connection, AttemptEntry entry) {
   bool sent = entry->second.is_sent();
   connections_.close(connection);
@@ -218,13 +219,13 @@
 
 void Upstreams::response_complete(UpstreamConnection& connection, AttemptEntry entry) {
   auto response = connection.take_response();
-  // Before its last byte was out no response can be to it: an endpoint begins a request only then.
+  // A response before the request's last byte can't answer it: endpoints execute complete requests only.
   if (!entry->second.is_sent()) {
     connections_.close(connection);
     return complete(entry, Outcome::unreachable);
   }
   auto outcome = outcome_of(*response);
-  // With bytes left over the two sides disagree about where messages end.
+  // With surplus bytes behind the response the message framing is uncertain: no reuse.
   if (response->keep_alive() && connection.stream().bytes().empty() && connection.stream().quiet()) {
     connections_.settle(connection);
   } else {
@@ -234,15 +235,23 @@
   complete(entry, outcome, std::move(response));
 }
 
+void Upstreams::log_connection_broken(const UpstreamConnection& connection,
+                                      const UpstreamAttempt& attempt) const {
+  const auto& name = endpoints_.name(connection.endpoint());
+  double idle_ms = connection.idle_before_attempt_ms();
+  double duration_ms = now_ms_ - attempt.started_at_ms();
+  log_(Level::debug,
+       std::string("endpoint ").append(name) + " connection broke during an attempt: idle before " +
+           rounded_ms(idle_ms) + ", attempt duration " + rounded_ms(duration_ms),
+       {{"endpoint", name}, {"idle_ms", idle_ms}, {"duration_ms", duration_ms}});
+}
+
 void Upstreams::connection_broken(UpstreamConnection& connection, AttemptEntry entry) {
   const auto& attempt = entry->second;
   bool sent = attempt.is_sent();
-  log_(Level::debug, endpoints_.name(connection.endpoint()) +
-                         ": a connection broke under a fetch, idle before for " +
-                         rounded_ms(connection.idle_before_attempt_ms()) + ", fetched for " +
-                         rounded_ms(now_ms_ - attempt.started_at_ms()));
+  log_connection_broken(connection, attempt);
   connections_.close(connection);
-  // Never run as long as its last byte was not written; after that it may have.
+  // The endpoint can have executed the request only if its last byte was written.
   complete(entry, sent ? Outcome::reset : Outcome::unreachable);
 }
 
--- a/src/proxy/upstream/idle_timeout_estimator.hpp
+++ b/src/proxy/upstream/idle_timeout_estimator.hpp
@@ -1,5 +1,5 @@
-// How long a connection may lie idle and still be used: the configured idle timeout, or less where endpoints
-// were seen to close idle connections earlier. Values only; all times are in ms of the caller's clock.
+// Estimates how long a connection may be idle and still be reused: the configured idle timeout, or less if
+// endpoints close idle connections earlier. Does no I/O; all times are in ms of the caller's clock.
 #pragma once
 
 #include <deque>
@@ -10,14 +10,14 @@
 
 class IdleTimeoutEstimator {
  public:
-  // `idle_timeout_ms`: endpoints close what has been idle for so long.
+  // `idle_timeout_ms`: after which endpoints close idle connections.
   explicit IdleTimeoutEstimator(double idle_timeout_ms) : idle_timeout_ms_(idle_timeout_ms) {}
 
-  // That endpoint ended a connection which had been idle for so long.
+  // The endpoint closed a connection after `idle_ms` of idle time.
   void closed_by_endpoint(EndpointIndex endpoint, double idle_ms, double now_ms);
-  // From this age on an idle connection is no longer used. Forgets what is too old to tell.
+  // Idle time from which a connection is not reused. Forgets old closes.
   [[nodiscard]] double usable_ms(double now_ms);
-  // From this age on an idle connection is closed: it is never used again, whatever is learned.
+  // Idle time from which a connection is closed: usable_ms() never exceeds it.
   [[nodiscard]] double close_after_ms() const;
 
  private:
@@ -27,7 +27,7 @@
     EndpointIndex endpoint = no_endpoint;
   };
   double idle_timeout_ms_;
-  std::deque<Close> closes_;  // the latest, oldest first
+  std::deque<Close> closes_;  // oldest first
 };
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/upstream/request.cpp
+++ b/src/proxy/upstream/request.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Of a body that streams, as much is queued at a time.
+// Limit of queued bytes of a streamed body.
 constexpr std::size_t max_queued_bytes = 32 * 1024;
 
 }  // namespace
--- a/src/proxy/upstream/request.hpp
+++ b/src/proxy/upstream/request.hpp
@@ -1,4 +1,4 @@
-// What an attempt sends: a client's request, held complete or passed on as its body comes, or a health check.
+// What an attempt sends: a client's request, either complete or with a streamed body, or a health check.
 #pragma once
 
 #include <cstdint>
@@ -10,41 +10,41 @@
 
 namespace meadowgauge::proxy {
 
-// Shares the client's message with whoever takes its bytes in. To be sent once.
+// Shares the client's message with the downstream connection. Sent once.
 class UpstreamRequest {
  public:
-  // `streaming_budget_ms`: the time budget that the endpoint is told where the body is still coming.
+  // `streaming_budget_ms`: the time budget in the request's header if the body is incoming.
   static UpstreamRequest of_client(SharedMessage message, double streaming_budget_ms);
   // A GET of `path`.
   static UpstreamRequest health_check(std::string_view path);
 
   [[nodiscard]] bool is_health_check() const { return !message_; }
-  // Its body is passed on as it comes.
+  // The body is forwarded as it is received.
   [[nodiscard]] bool streams_body() const { return streams_; }
 
-  // Appends the head, and the body where that is held complete; the endpoint is told `budget_ms` then. `host`
-  // is for a health check. False: the pool has no buffers, and `out` must not be sent.
+  // Appends the head, and a complete body. `budget_ms`: the time budget in the header of a complete request.
+  // `host`: of a health check. False: the pool has no buffers, and `out` must not be sent.
   [[nodiscard]] bool write_start(transport::Chain& out, std::string_view host, double budget_ms);
 
   enum class SendResult : std::uint8_t {
-    pending,  // the socket or the pool takes no more now, or more of the body has to come first
-    drained,  // all that was held of a streaming body has been passed on: there is room for more
+    pending,  // waits for the socket, for a buffer, or for more of the body
+    drained,  // the buffered part of a streamed body is forwarded: more can be received
     sent,     // the last byte is written
     broken    // the connection broke
   };
-  // Writes what is queued, and what there is behind it of a body that streams. To be called again when the
-  // stream is writable, or when more of the body is there.
+  // Writes the queued bytes and the received part of a streamed body. Called again when the stream is
+  // writable, or when more of the body is received.
   SendResult send(transport::Stream& stream);
 
  private:
   UpstreamRequest() = default;
 
-  SharedMessage message_;  // none: a health check
+  SharedMessage message_;  // null: a health check
   std::string path_;       // of a health check
   double streaming_budget_ms_ = 0;
-  bool streams_ = false;  // its body comes while it is sent
+  bool streams_ = false;  // the body is incoming
   bool chunked_ = false;  // the framing of that body
-  bool queued_ = true;    // nothing is to be written behind what stands in the stream's queue
+  bool queued_ = true;    // the whole request is in the stream's queue, or sent
 };
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/upstream/upstreams.cpp
+++ b/src/proxy/upstream/upstreams.cpp
@@ -12,22 +12,21 @@
 
 namespace {
 
-// A machine that vanished answers no dial: no more than this many to one endpoint at a time.
+// Concurrent dials to one endpoint; dials to an unreachable machine hang until their timeout.
 constexpr int max_dials_per_endpoint = 8;
 
 }  // namespace
 
-Upstreams::Upstreams(transport::Loop& loop, transport::Pool& buffers, DueTimes& due_times,
-                     const double& now_ms, const ConnectionPoolSettings& settings, Logger log,
+Upstreams::Upstreams(const Parts& parts, const ConnectionPoolSettings& settings, Logger log,
                      std::function<bool()> free_descriptor)
-    : due_times_(due_times),
-      now_ms_(now_ms),
+    : due_times_(parts.due_times),
+      now_ms_(parts.now_ms),
       dial_timeout_ms_(settings.dial_timeout_ms),
       log_(std::move(log)),
-      connections_({.loop = loop,
-                    .buffers = buffers,
-                    .due_times = due_times,
-                    .now_ms = now_ms,
+      connections_({.loop = parts.loop,
+                    .buffers = parts.buffers,
+                    .due_times = parts.due_times,
+                    .now_ms = parts.now_ms,
                     .endpoints = endpoints_,
                     .handler = *this},
                    settings, log_, std::move(free_descriptor)) {}
@@ -46,26 +45,32 @@
 void Upstreams::update_address(EndpointIndex endpoint, const std::string& address, double started_at_ms,
                                bool active) {
   bool other_process = endpoints_.update(endpoint, address, started_at_ms, active);
-  if (!address.empty() && !endpoints_.dial_address(endpoint))
-    log_(Level::warning, endpoints_.name(endpoint) + ": can't dial '" + address + "'");
+  if (!address.empty() && !endpoints_.dial_address(endpoint)) log_invalid_address(endpoint, address);
   if (other_process) connections_.close_idle(endpoint);
   if (!endpoints_.accepts_attempts(endpoint)) stop_attempts(endpoint);
 }
 
+void Upstreams::log_invalid_address(EndpointIndex endpoint, const std::string& address) const {
+  const auto& name = endpoints_.name(endpoint);
+  log_(Level::warning,
+       std::string("endpoint ").append(name).append(" has an invalid address: ").append(address),
+       {{"endpoint", name}, {"address", address}});
+}
+
 void Upstreams::set_manual_drain(EndpointIndex endpoint, bool drained) {
   endpoints_.set_manual_drain(endpoint, drained);
   if (drained)
     stop_attempts(endpoint);
   else
-    connections_.close_idle(endpoint);  // of the process before
+    connections_.close_idle(endpoint);  // the endpoint may have been restarted
 }
 
 void Upstreams::remove(EndpointIndex endpoint) {
   if (endpoints_.remove(endpoint)) stop_attempts(endpoint);
 }
 
-// What still waits for a connection there has not been sent, and must not be any more once the grace of a
-// drain is over: the policy finds it another endpoint.
+// Ends the attempts that wait for a connection: no new request may be sent to a drained endpoint, and the
+// policy retries them at other endpoints.
 void Upstreams::stop_attempts(EndpointIndex endpoint) {
   connections_.close_idle(endpoint);
   for (auto id : std::exchange(waiting(endpoint), {})) complete(attempts_.find(id), Outcome::unreachable);
@@ -81,7 +86,7 @@
 
 void Upstreams::start(AttemptId id, EndpointIndex endpoint, SharedMessage request,
                       const AttemptLimits& limits) {
-  // What has been passed on of a body is gone: the rest alone must not reach anybody as a request.
+  // The forwarded part of a body is no longer held, and the rest alone is not the request.
   if (request->partly_forwarded()) {
     events_.push_back(
         {.attempt = id, .endpoint = endpoint, .outcome = Outcome::unreachable, .started_at_ms = now_ms_});
@@ -134,8 +139,8 @@
   return true;
 }
 
-// Where a site forbids cancels a departed client's request went out all the same when its dial came up at
-// last. What no endpoint has complete is no request there, so that giving it up cancels nothing.
+// Allowed even where the settings forbid cancels: no endpoint has the complete request, so that there is
+// nothing to cancel there.
 void Upstreams::abandon_unsent(AttemptId id) {
   auto entry = attempts_.find(id);
   if (entry == attempts_.end() || entry->second.is_sent()) return;
@@ -143,8 +148,8 @@
   complete(entry, Outcome::superseded);
 }
 
-// Closes its connection, which is the only way to tell the endpoint, or takes it from the queue of those that
-// wait for one.
+// Closes the attempt's connection, the only way to cancel a request, or removes the attempt from the queue
+// for a connection.
 void Upstreams::release_connection(AttemptEntry entry) {
   const auto& attempt = entry->second;
   if (attempt.awaits_connection())
@@ -153,7 +158,7 @@
     connections_.close(connections_.at(attempt.connection()));
 }
 
-// The one place where an attempt is over, but for those that are cancelled.
+// Ends an attempt with an event. Only cancel() ends an attempt without.
 void Upstreams::complete(AttemptEntry entry, Outcome outcome, SharedMessage response) {
   if (entry == attempts_.end()) return;
   set_due(entry, DueTimes::none);
@@ -174,7 +179,7 @@
 
 void Upstreams::attempt_due(AttemptId id) {
   auto entry = attempts_.find(id);
-  // A response that came in the same moment counts: a turn tells of so many connections and no more.
+  // Reads first: a response may have arrived whose event is still queued, as a turn has a limit of events.
   if (!entry->second.awaits_connection()) {
     read_response(connections_.at(entry->second.connection()), entry);
     entry = attempts_.find(id);
@@ -206,7 +211,7 @@
     case State::in_flight: {
       auto entry = attempts_.find(connection.attempt());
       bool unbroken = send_pending(connection, entry);
-      read_response(connection, entry);  // what it said before it broke still counts
+      read_response(connection, entry);  // the response may have arrived before the connection broke
       if (!unbroken && connection.state() == State::in_flight) connection_broken(connection, entry);
       return;
     }
@@ -220,7 +225,7 @@
   if (connection.stream().dial_error() == 0) {
     connections_.dial_succeeded(connection);
     connection_available(connection);
-    return dial_for_waiting(endpoint);  // more may wait than were dialled for at a time
+    return dial_for_waiting(endpoint);  // max_dials_per_endpoint may have held back dials
   }
   connections_.close(connection);
   if (waiting(endpoint).empty()) return;
@@ -228,7 +233,7 @@
   dial_for_waiting(endpoint);
 }
 
-// It has settled, or its dial has timed out.
+// The connection has settled, or its dial has timed out.
 void Upstreams::connection_due(ConnectionId id) {
   auto& connection = connections_.at(id);
   EndpointIndex endpoint = connection.endpoint();
@@ -241,8 +246,8 @@
   dial_for_waiting(endpoint);
 }
 
-// A connection that has come up, or has settled after an attempt, serves the attempt that has waited longest,
-// or is kept for the next.
+// A dialled or settled connection serves the attempt at the head of the queue, or is kept for the next
+// attempt.
 void Upstreams::connection_available(UpstreamConnection& connection) {
   EndpointIndex endpoint = connection.endpoint();
   if (!connections_.is_usable(connection)) {
@@ -251,7 +256,7 @@
   }
   while (!waiting(endpoint).empty()) {
     auto entry = attempts_.find(waiting(endpoint).front());
-    // Its time to be sent may be over in this same turn: it would be given up right behind its last byte.
+    // The attempt may time out in this same turn: it must not be sent then.
     if (entry->second.give_up_at_ms() <= now_ms_) {
       fail_next_waiting(endpoint);
       continue;
--- a/src/proxy/upstream/upstreams.hpp
+++ b/src/proxy/upstream/upstreams.hpp
@@ -1,5 +1,5 @@
-// Attempts at endpoints: each waits for a connection, sends its request on it, and reads the response. What
-// happens to them is gathered as events of a turn. All times are in ms of the turn's clock.
+// Attempts at endpoints: each waits for a connection, sends its request, and reads the response. Collects
+// their events for the loop turn. All times are in ms of the loop turn's clock.
 #pragma once
 
 #include <cstdint>
@@ -21,91 +21,98 @@
 
 namespace meadowgauge::proxy {
 
-// Owns the attempts, the connections and what is known of the endpoints' addresses. Nothing here throws but
-// for want of memory: an attempt that fails has an event that says how.
+// Owns the attempts, the connections and the endpoints' addresses. Throws std::bad_alloc only: a failed
+// attempt completes with an Outcome.
 class Upstreams final : UpstreamConnectionHandler {
  public:
-  // Kinds of its due times.
+  // DueKey kinds.
   static constexpr std::uint8_t attempt_due_kind = 1;
   static constexpr std::uint8_t connection_due_kind = ConnectionPool::due_kind;
 
-  // `loop`, `buffers`, `due_times` and `now_ms` (the turn's reading of the clock) outlive it.
-  // `free_descriptor` closes a connection of another kind for the sake of a dial; false: there is none.
-  Upstreams(transport::Loop& loop, transport::Pool& buffers, transport::DueTimes& due_times,
-            const double& now_ms, const ConnectionPoolSettings& settings, Logger log,
+  // All parts outlive this object.
+  struct Parts {
+    transport::Loop& loop;
+    transport::Pool& buffers;
+    transport::DueTimes& due_times;
+    const double& now_ms;  // time of the loop turn
+  };
+  // `free_descriptor`: closes a downstream connection so that a dial gets its descriptor; false if none can
+  // be closed.
+  Upstreams(const Parts& parts, const ConnectionPoolSettings& settings, Logger log,
             std::function<bool()> free_descriptor);
   ~Upstreams() = default;
   Upstreams(const Upstreams&) = delete;
   Upstreams& operator=(const Upstreams&) = delete;
 
-  // Which server has which index, and what is known of it.
+  // The endpoints by index, with name and address.
   [[nodiscard]] const EndpointSlots& endpoints() const { return endpoints_; }
-  // The index of the server of that name, a new one where it has none. It stays its own for as long as it is
-  // listed or anything of it is left.
+  // The index of the named endpoint; assigns an index to a new name. The index stays valid until
+  // reclaim_indices() frees it.
   EndpointIndex index_of(const std::string& name);
-  // The server is listed there, with an incarnation that started then; an empty address: where it was.
-  // `active`: new attempts may go there. Connections of another process or address are not used again.
+  // Updates an endpoint from the endpoint list. An empty `address` keeps the known address; `started_at_ms`
+  // identifies the incarnation; `active`: accepts new attempts. Closes idle connections of another
+  // incarnation or address.
   void update_address(EndpointIndex endpoint, const std::string& address, double started_at_ms, bool active);
-  // By an operator's hand no new attempts go there whatever is listed, or may again.
+  // An operator's drain overrides the endpoint list; false ends it.
   void set_manual_drain(EndpointIndex endpoint, bool drained);
-  // The server is listed no more.
+  // The endpoint has left the endpoint list.
   void remove(EndpointIndex endpoint);
-  // Takes back the indices of servers that were removed and have nothing left here nor, by `in_use`,
-  // elsewhere.
+  // Frees the indices of removed endpoints without connections and waiting attempts, unless `in_use`.
   void reclaim_indices(const std::function<bool(EndpointIndex endpoint)>& in_use);
 
-  // Starts an attempt; shares `request` until it is over. The body of a request that is not complete is
-  // passed on as it comes.
+  // Starts an attempt; shares `request` until the attempt is over. An incomplete request is sent with a
+  // streamed body.
   void start(AttemptId id, EndpointIndex endpoint, SharedMessage request, const AttemptLimits& limits);
-  // Starts a health check, unless one of that id is still out.
+  // Starts a health check, unless `id` is still in flight.
   void start_health_check(AttemptId id, EndpointIndex endpoint, std::string_view path, double limit_ms);
-  // The functions from here on do nothing for an attempt that is over.
-  // More of the request's body is there.
+  // The functions from here on have no effect on an attempt that is over.
+  // More of the request's body is received.
   void continue_request(AttemptId id);
-  // The request's body is complete: the attempt may take so long from now on.
+  // The request's body is complete: sets the time limit, from now.
   void set_limit(AttemptId id, double limit_ms);
-  // What was held of the response has been passed on: there is room for more.
+  // The client has taken the buffered part of the response: reads on.
   void resume_response(AttemptId id);
-  // A response that streams is to be complete by then, unless it is larger than what is held at a time.
+  // Deadline of a streamed response that fits in the buffer.
   void set_response_due(AttemptId id, double at_ms);
-  // Lets responses of unknown length stream that have been held for long. To be called now and then.
+  // Starts to stream responses of unknown length that have been buffered for `max_held_ms`. Called
+  // periodically.
   void stream_held_responses();
-  // Ends an attempt without an event, and its connection with it. False: it is over, and its one `completed`
-  // is on its way or was taken.
+  // Ends an attempt without an event, and closes its connection. False: the attempt is over, with its own
+  // `completed` event.
   bool cancel(AttemptId id);
-  // Its request has its final response, or its client has gone: what is not sent yet ends as superseded; what
-  // is sent goes on.
+  // Ends an unsent attempt with Outcome::superseded; no effect on a sent one. Called when the request has its
+  // final response or the client has left.
   void abandon_unsent(AttemptId id);
 
-  // A due time of its kinds has come.
+  // A due time of one of the kinds above has been reached.
   void deadline_reached(transport::DueKey key);
-  // Closes connections that are idle for too long to be used again. To be called now and then.
+  // Closes connections that have been idle for too long to be reused. Called periodically.
   void close_expired_connections() { connections_.close_expired(); }
-  // So many connections from now on; those idle longest make way.
-  void set_max_connections(std::size_t most) { connections_.set_max_connections(most); }
-  // Frees the connections that were closed in this turn.
+  // Sets the limit; closes the oldest idle connections above it.
+  void set_max_connections(std::size_t max_connections) { connections_.set_max_connections(max_connections); }
+  // Destroys the connections that were closed in this loop turn.
   void destroy_closed() { connections_.destroy_closed(); }
 
-  // What has happened since the caller last emptied this.
+  // Collected events; the caller clears them.
   [[nodiscard]] std::vector<AttemptEvent>& events() { return events_; }
-  // Clients' requests that were sent to their last byte, since the start.
+  // Attempts of requests sent to the last byte, since the start; without health checks.
   [[nodiscard]] std::uint64_t requests_sent() const { return requests_sent_; }
 
-  // Empty where all invariants hold, otherwise what is broken. For tests, between turns.
+  // The first broken invariant; empty if all hold. For tests, between loop turns.
   [[nodiscard]] std::string broken_invariant() const;
 
  private:
   using Attempts = std::unordered_map<AttemptId, UpstreamAttempt>;
-  using AttemptEntry = Attempts::iterator;  // an attempt that is not over
+  using AttemptEntry = Attempts::iterator;  // always an attempt that is not over
 
-  // An attempt's life.
+  // Start and end of attempts.
   void begin(AttemptId id, UpstreamAttempt attempt);
   void set_due(AttemptEntry entry, double at_ms);
   void complete(AttemptEntry entry, Outcome outcome, SharedMessage response = {});
   void release_connection(AttemptEntry entry);
   void attempt_due(AttemptId id);
 
-  // Connections and the attempts that wait for one.
+  // Connections, and the queue of attempts for them.
   void connection_ready(UpstreamConnection& connection, std::uint32_t events) override;
   void dial_finished(UpstreamConnection& connection);
   void connection_due(ConnectionId id);
@@ -117,7 +124,7 @@
     return waiting_[position_of(endpoint)];
   }
 
-  // Requests and responses (upstream_exchange.cpp).
+  // Requests and responses (exchange.cpp).
   void send_request(UpstreamConnection& connection, AttemptEntry entry);
   bool send_pending(UpstreamConnection& connection, AttemptEntry entry);
   void read_response(UpstreamConnection& connection, AttemptEntry entry);
@@ -129,13 +136,17 @@
   void response_complete(UpstreamConnection& connection, AttemptEntry entry);
   void connection_broken(UpstreamConnection& connection, AttemptEntry entry);
 
+  // Log lines.
+  void log_invalid_address(EndpointIndex endpoint, const std::string& address) const;
+  void log_connection_broken(const UpstreamConnection& connection, const UpstreamAttempt& attempt) const;
+
   transport::DueTimes& due_times_;
   const double& now_ms_;
   double dial_timeout_ms_;
   Logger log_;
   EndpointSlots endpoints_;
   ConnectionPool connections_;
-  std::vector<std::deque<AttemptId>> waiting_;  // for a connection, by endpoint; the longest first
+  std::vector<std::deque<AttemptId>> waiting_;  // for a connection, by endpoint; oldest first
   Attempts attempts_;
   std::vector<AttemptEvent> events_;
   std::uint64_t requests_sent_ = 0;
--- a/tests/proxy/upstream/idempotency_random_test.cpp
+++ b/tests/proxy/upstream/idempotency_random_test.cpp
@@ -21,7 +21,7 @@
 constexpr int server_count = 6, places = 3;
 constexpr std::uint64_t day_count = 32;
 constexpr int turns = 400, last_turns = 300;
-constexpr double longest_body_ms = 3600000;
+constexpr double max_body_ms = 3600000;
 
 // What of the program is left out, for tests of the judge.
 enum class Fault : std::uint8_t { none, keeps_no_window, keeps_no_group, sends_away_for_long };
@@ -68,7 +68,7 @@
   int withdrawn = 0;
 
  private:
-  struct InHand {
+  struct InFlight {
     std::shared_ptr<protocol::Message> message;
     std::string rest = {};  // of its body, which is still to come
     double budget_ms = 0;
@@ -131,19 +131,19 @@
     bool incoming = !message->complete();
     Request request{.request_class = request_class,
                     .arrived_ms = now_ms_,
-                    .deadline_ms = now_ms_ + (incoming ? longest_body_ms : budget_ms),
+                    .deadline_ms = now_ms_ + (incoming ? max_body_ms : budget_ms),
                     .large_body = incoming,
                     .body_incoming = incoming};
     judge.requests[job] = {
         .request_class = request_class, .due_ms = request.deadline_ms, .key_ttl_ms = key_ttl_ms_};
-    in_hand_[job] = {
+    in_flight_[job] = {
         .message = std::move(message), .rest = incoming ? body.substr(here) : "", .budget_ms = budget_ms};
     requests_.request_arrived(proxy::RequestNumber{job}, request, now_ms_);
   }
 
   // The rest of some bodies comes.
   void bodies_go_on() {
-    for (auto& [job, held] : in_hand_) {
+    for (auto& [job, held] : in_flight_) {
       if (held.rest.empty() || !chance_.of(0.1)) continue;
       held.message->feed(std::exchange(held.rest, {}));
       double due_ms = now_ms_ + held.budget_ms;
@@ -166,7 +166,8 @@
     if (event.kind != proxy::AttemptEvent::Kind::completed) return;
     auto job = event.attempt >> 3;
     bool open = requests_.is_open(proxy::RequestNumber{job}), succeeded = event.outcome == Outcome::succeeded;
-    if (auto held = in_hand_.find(job); held != in_hand_.end() && held->second.message->partly_forwarded())
+    if (auto held = in_flight_.find(job);
+        held != in_flight_.end() && held->second.message->partly_forwarded())
       requests_.body_forwarded(proxy::RequestNumber{job});
     if (open && succeeded) answered(job, -1);
     requests_.attempt_ended(proxy::RequestNumber{job},
@@ -191,7 +192,7 @@
                      const AttemptTimeout& timeout) override {
     auto job = to_integer(request);
     last_attempt_[job] = number;
-    auto& held = in_hand_.at(job);
+    auto& held = in_flight_.at(job);
     double send_by_ms = timeout.send_by_ms;
     if (fault_ == Fault::keeps_no_window) send_by_ms = never;
     upstreams_.start(
@@ -214,7 +215,7 @@
     if (upstreams_.events().size() > events) ++withdrawn;
   }
   void probe(EndpointIndex) override {}
-  void released(proxy::RequestNumber request) override { in_hand_.erase(to_integer(request)); }
+  void released(proxy::RequestNumber request) override { in_flight_.erase(to_integer(request)); }
 
   double now_ms_ = 100000, tick_at_ms_ = now_ms_, turn_ms_ = 0;
   double silent_until_ = 0;  // until then nothing comes from the sockets
@@ -228,14 +229,17 @@
   Policy policy_;
   std::vector<std::unique_ptr<StandIn>> servers_;
   std::vector<EndpointEntry> listed_;
-  std::map<RequestId, InHand> in_hand_;
+  std::map<RequestId, InFlight> in_flight_;
   std::map<RequestId, int> last_attempt_;
-  proxy::Upstreams upstreams_{loop_, pool_, due_, now_ms_, {}, proxy::Logger(), [] { return false; }};
+  proxy::Upstreams upstreams_{
+      {.loop = loop_, .buffers = pool_, .due_times = due_, .now_ms = now_ms_}, {}, proxy::Logger(), [] {
+        return false;
+      }};
   proxy::RequestTable requests_{policy_, due_, *this};
   RequestId next_job_ = 1;
 };
 
-TEST(IdempotencyDays, HaveNoSecondRunOutsideGroupOrWindowAndOneAnswerEach) {
+TEST(IdempotencyDays, NoSecondRunOutsideGroupOrWindowOneAnswerEach) {
   int repeated_runs = 0, rejected_after_run = 0, withdrawn = 0;
   for (std::uint64_t seed = 1; seed <= day_count; ++seed) {
     IdempotencyDay day(seed);
--- a/tests/proxy/upstream/upstream_parts_test.cpp
+++ b/tests/proxy/upstream/upstream_parts_test.cpp
@@ -99,7 +99,7 @@
   EXPECT_EQ(estimator.close_after_ms(), usable_ms);
 }
 
-TEST(IdleTimeoutEstimator, OneDyingEndpointAndClosesBehindAResponseTellNothing) {
+TEST(IdleTimeoutEstimator, IgnoresADyingEndpointAndClosesAfterAResponse) {
   IdleTimeoutEstimator estimator(idle_timeout_ms);
   for (int i = 0; i < 20; ++i) estimator.closed_by_endpoint(EndpointIndex{0}, 1000, 0);
   for (int i = 0; i < 20; ++i) estimator.closed_by_endpoint(EndpointIndex{i}, 49, 0);
@@ -132,7 +132,7 @@
   EXPECT_EQ(impatient.give_up_at_ms(), 5);
 }
 
-TEST(UpstreamAttempt, AResponseThatStreamsIsOwedByItsDueTimeUnlessItIsLarge) {
+TEST(UpstreamAttempt, StreamedResponseIsDueByItsTimeUnlessLarge) {
   auto attempt = attempt_until(10, 20, 30);
   attempt.connected(7);
   attempt.request_sent();
@@ -159,7 +159,10 @@
   double now_ms = 1000;
   transport::Listener listener{loop, *transport::Address::parse("127.0.0.1:0"), *this};
   ConnectionPoolSettings settings;
-  Upstreams upstreams{loop, buffers, due_times, now_ms, settings, Logger(), [] { return false; }};
+  Upstreams upstreams{
+      {.loop = loop, .buffers = buffers, .due_times = due_times, .now_ms = now_ms}, settings, Logger(), [] {
+        return false;
+      }};
   SharedMessage request = std::make_shared<protocol::Message>(buffers, protocol::Message::Kind::request);
   transport::Fd connection;  // accepted last
 
@@ -229,7 +232,7 @@
   EXPECT_EQ(e.take_outcomes(), Outcomes{Outcome::reset});
 }
 
-TEST(Upstreams, AnIdleConnectionIsClosedWhenItExpiresOrItsServerIsRemoved) {
+TEST(Upstreams, IdleConnectionClosesOnExpiryOrEndpointRemoval) {
   for (bool removed : {true, false}) {
     OneEndpoint e;
     e.start(1);
@@ -249,7 +252,7 @@
   }
 }
 
-TEST(Upstreams, ALargeResponseStreamsAndPausesUntilWhatIsHeldIsPassedOn) {
+TEST(Upstreams, LargeResponseStreamsAndPausesUntilDrained) {
   constexpr std::size_t size = 100000;
   constexpr std::size_t piece = 10000;
   OneEndpoint e;
--- a/tests/proxy/upstream/upstreams_test.cpp
+++ b/tests/proxy/upstream/upstreams_test.cpp
@@ -26,7 +26,8 @@
   transport::Pool pool(4);
   transport::DueTimes due;
   double now_ms = 0;
-  Upstreams upstreams(loop, pool, due, now_ms, {}, Logger(), [] { return false; });
+  Upstreams upstreams({.loop = loop, .buffers = pool, .due_times = due, .now_ms = now_ms}, {}, Logger(),
+                      [] { return false; });
   for (int i = 0; i < 1000; ++i) {
     EndpointIndex endpoint = upstreams.index_of("s" + std::to_string(i));
     EXPECT_EQ(endpoint, EndpointIndex{i % 2});
@@ -51,7 +52,9 @@
   transport::DueTimes due;
   double now_ms = 1000;
   transport::Listener listener{loop, *transport::Address::parse("127.0.0.1:0"), *this};
-  Upstreams upstreams{loop, pool, due, now_ms, {}, Logger(), [] { return false; }};
+  Upstreams upstreams{{.loop = loop, .buffers = pool, .due_times = due, .now_ms = now_ms}, {}, Logger(), [] {
+                        return false;
+                      }};
   SharedMessage request = std::make_shared<Message>(pool, Message::Kind::request);
 
   UpstreamsFixture() {
