--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -31,9 +31,12 @@
                   .settle_ms = proxy_settings_.settle_ms,
                   .max_connections = divide_descriptors(descriptors_).upstream},
                  log_, [this] { return downstream_.shed(DownstreamConnections::ShedScope::any); }),
-      downstream_(loop, pool_, due_, setup.listen, now_ms_, divide_descriptors(descriptors_).downstream,
-                  divide_descriptors(descriptors_).downstream_overflow, counters_,
-                  {.shared = setup.shared, .later = setup.later}),
+      downstream_(
+          {.loop = loop, .buffers = pool_, .due_times = due_, .now_ms = now_ms_, .counters = counters_},
+          setup.listen,
+          {.max_served = divide_descriptors(descriptors_).downstream,
+           .max_overflow = divide_descriptors(descriptors_).downstream_overflow},
+          {.shared = setup.shared, .later = setup.later}),
       discovery_(loop, pool_, due_, now_ms_, setup.discovery, setup.known.seq, setup.seed, log_,
                  watch_terms(setup.settings, log_)),
       endpoints_(proxy_settings_, upstreams_, policy_, log_),
@@ -199,7 +202,7 @@
   auto budget = divide_descriptors(of(descriptors_));
   pool_.allow(of(buffers_));
   upstreams_.set_max_connections(budget.upstream);
-  downstream_.set_limits(budget.downstream, budget.downstream_overflow);
+  downstream_.set_limits({.max_served = budget.downstream, .max_overflow = budget.downstream_overflow});
 }
 
 void Balancer::yield_to_successor() {
--- a/src/proxy/downstream/connection.hpp
+++ b/src/proxy/downstream/connection.hpp
@@ -1,4 +1,4 @@
-// The state of one client's connection. For the sources of DownstreamConnections alone.
+// The state of one client connection. Included by the sources of DownstreamConnections only.
 #pragma once
 
 #include <cstddef>
@@ -10,23 +10,30 @@
 
 namespace meadowgauge::proxy {
 
-// How many times a socket is read before others have their turn.
+// Reads of one connection per loop turn, for fairness.
 inline constexpr int reads_per_turn = 8;
-// From connecting, or from a later request's first byte, until the request is complete. Clients are near: one
-// that takes longer is silent, or sends byte by byte, and holds a descriptor that others wait for.
+// From connecting, or from a later request's first byte, until the request is complete. Clients are near: a
+// slower client is silent or sends byte by byte, and keeps a descriptor from others.
 inline constexpr double request_timeout_ms = 2500;
-// A response that is not taken for this long ends the connection.
+// A connection closes when its client takes no byte of a response for this long.
 inline constexpr double send_stall_ms = 10000;
 
 struct DownstreamConnections::Connection final : transport::Ready {
   enum class State : std::uint8_t {
-    reading,     // a request, or idle before one
-    in_flight,   // a request without a response
-    responding,  // a response is being sent
-    lingering,   // the last response is out; what the client still sends is dropped
+    reading,     // receiving a request, or idle between requests
+    in_flight,   // the request is unanswered
+    responding,  // sending the response
+    lingering,   // the last response is sent; further input is discarded
     closed
   };
 
+  // How RequestCounters include the request.
+  enum class Accounting : std::uint8_t {
+    none,           // no request, or it is not counted
+    awaiting_body,  // its outcome will be counted; not in flight before its last byte
+    in_flight       // counted as in flight
+  };
+
   Connection(DownstreamConnections& owner, ClientId id, transport::Fd fd)
       : owner(owner), id(id), stream(owner.loop_, owner.pool_, std::move(fd), *this) {}
   void ready(std::uint32_t events) override { owner.ready(*this, events); }
@@ -35,31 +42,34 @@
   ClientId id;
   transport::Stream stream;
   State state = State::reading;
-  // The client has ended the connection, or its sending on it: the system may report that only once.
+  // The client has closed the connection, or its sending side. epoll may report that only once.
   bool peer_closed = false;
-  bool gone = false;                          // client_gone was reported
-  bool has_sent_request = false;              // a complete one
-  double due_ms = transport::DueTimes::none;  // of the deadline
-  std::optional<ShedPosition> shed_position;  // where it may be shed
+  bool gone = false;                          // client_gone is reported
+  bool has_sent_request = false;              // a complete request was received
+  double due_ms = transport::DueTimes::none;  // time of the deadline
+  std::optional<ShedPosition> shed_position;  // absent while it can't be shed
 
-  // The request that is read or in flight.
+  // The request that is being received or in flight.
   SharedMessage request;
-  bool keep_alive = true, head_only = false;
+  bool keep_alive = true;
+  bool head_only = false;
   bool http_1_0 = false;
   bool continue_sent = false;  // 100 Continue
-  bool body_incoming = false;  // while the request is in flight
-  bool body_event_pending =
-      false;                   // body_received was reported, and request_body_forwarded() has not followed
-  double body_due_base = 0;    // when its body is due, before what its bytes are worth
-  std::size_t body_bytes = 0;  // as many as have come
-  double paused_at_ms = 0;  // not read since then, as what is held of its body has to go first; 0: not paused
+  bool body_incoming = false;  // the request is in flight, its body incomplete
+  // body_received is reported, and request_body_forwarded() has not followed yet.
+  bool body_event_pending = false;
+  // Deadline of the body before the extension by received bytes, in ms; 0: no body.
+  double body_due_base_ms = 0;
+  std::size_t body_bytes = 0;  // received
+  // When reading paused because the buffer was full; 0: not paused.
+  double paused_at_ms = 0;
   int request_class = -1;
-  bool counted = false;            // in the figures
-  bool counted_in_flight = false;  // and that has come whole
+  Accounting accounting = Accounting::none;
 
-  // Its response.
-  SharedMessage response;  // one that streams
-  bool chunked = false, response_ended = false;
+  // The response.
+  SharedMessage response;       // a streamed response; null otherwise
+  bool chunked = false;         // framing of the streamed response
+  bool response_ended = false;  // the streamed response is queued to its last byte
   int status = 0;
   std::size_t discarded_bytes = 0;  // while lingering
 };
--- a/src/proxy/downstream/connections.cpp
+++ b/src/proxy/downstream/connections.cpp
@@ -8,19 +8,15 @@
 
 namespace meadowgauge::proxy {
 
-DownstreamConnections::DownstreamConnections(transport::Loop& loop, transport::Pool& pool,
-                                             transport::DueTimes& due, const transport::Address& listen,
-                                             const double& now_ms, std::size_t most_served,
-                                             std::size_t most_beyond, RequestCounters& counters,
-                                             transport::Listener::How how)
-    : loop_(loop),
-      pool_(pool),
-      due_(due),
-      now_ms_(now_ms),
-      most_served_(most_served),
-      most_beyond_(most_beyond),
-      counters_(counters),
-      listener_(loop, listen, *this, how) {}
+DownstreamConnections::DownstreamConnections(const Parts& parts, const transport::Address& listen,
+                                             const ConnectionLimits& limits, transport::Listener::How how)
+    : loop_(parts.loop),
+      pool_(parts.buffers),
+      due_(parts.due_times),
+      now_ms_(parts.now_ms),
+      limits_(limits),
+      counters_(parts.counters),
+      listener_(parts.loop, listen, *this, how) {}
 
 DownstreamConnections::~DownstreamConnections() = default;
 
@@ -32,17 +28,17 @@
     case Connection::State::reading:
       read_request(c);
       if (c.state != Connection::State::in_flight) break;
-      [[fallthrough]];  // the rest of its body may be here too
+      [[fallthrough]];  // more of the body may have arrived
     case Connection::State::in_flight:
       if (c.body_incoming) {
         read_request_body(c);
         if (c.body_incoming) break;
       }
-      // Nothing more is read while a request is in flight, so an end shows only here.
+      // With a complete request in flight nothing is read, so only the event shows the client's close.
       if (c.peer_closed) report_gone(c);
       break;
     case Connection::State::responding:
-      // Reset; an end of sending alone may be of one that still listens.
+      // Reset. EPOLLRDHUP alone may be a half-close: such a client still reads.
       if (c.response && events & (EPOLLHUP | EPOLLERR)) return close(c);
       continue_sending(c);
       break;
@@ -61,8 +57,8 @@
   auto& c = *connections_.at(id);
   bool reading = c.state == Connection::State::reading;
   bool body_incoming = c.state == Connection::State::in_flight && c.body_incoming;
-  // What came in the same moment counts: a turn tells of so many connections and no more, and a request whose
-  // last byte is here is taken.
+  // Reads first: the request's last byte may have arrived whose event is still queued, as a turn has a limit
+  // of events.
   if (reading || body_incoming) {
     if (reading)
       read_request(c);
@@ -79,7 +75,7 @@
   close(c);
 }
 
-// The time it has for what comes next.
+// The connection's deadline, in ms from now; replaces the former deadline.
 void DownstreamConnections::set_deadline(Connection& c, double ms) {
   due_.set(transport::due_key(due_kind, c.id), c.due_ms, now_ms_ + ms);
 }
@@ -93,19 +89,23 @@
   if (it == connections_.end()) return;
   auto& c = *it->second;
   c.request_class = request_class;
-  if (request_class >= 0 || !c.counted) return;
-  c.counted = false;
-  counters_.in_flight -= std::exchange(c.counted_in_flight, false);
+  if (request_class < 0) end_accounting(c);
 }
 
-// Its request has ended, with that status or before any response was out.
+// Ends the accounting of the request. False: the request was not counted.
+bool DownstreamConnections::end_accounting(Connection& c) {
+  auto accounting = std::exchange(c.accounting, Connection::Accounting::none);
+  if (accounting == Connection::Accounting::in_flight) --counters_.in_flight;
+  return accounting != Connection::Accounting::none;
+}
+
+// Counts the end of a request. `status`: of the response, or 500 if the connection closed before it.
 void DownstreamConnections::count_outcome(Connection& c, int status) {
-  if (!std::exchange(c.counted, false)) return;
-  counters_.in_flight -= std::exchange(c.counted_in_flight, false);
+  if (!end_accounting(c)) return;
   counters_.count(c.request_class, status);
 }
 
-// Between requests, with nothing of a next one here.
+// Between requests, with no byte of the next request received.
 bool DownstreamConnections::idle(const Connection& c) {
   return c.state == Connection::State::reading && !(c.request && c.request->started()) &&
          c.stream.bytes().empty() && c.stream.quiet();
@@ -124,7 +124,7 @@
   c.gone = true;
 }
 
-// The one place where a connection is closed.
+// Every close of a connection goes through here.
 void DownstreamConnections::close(Connection& c) {
   if (c.state == Connection::State::closed) return;
   if (c.state == Connection::State::in_flight || c.response) report_gone(c);
--- a/src/proxy/downstream/connections.hpp
+++ b/src/proxy/downstream/connections.hpp
@@ -1,5 +1,5 @@
-// Connections from clients: parsed requests in, one response to each out. What happens on them is gathered as
-// events of a turn; what is done on them is asked for by the client's id.
+// Client connections: parse requests, and send one response to each. Collects events for the loop turn;
+// callers address a connection by its ClientId.
 #pragma once
 
 #include <cstddef>
@@ -20,99 +20,108 @@
 
 namespace meadowgauge::proxy {
 
-// One connection of a client; never given out twice.
+// Identifies a client connection; never reused.
 using ClientId = std::uint64_t;
 
 struct DownstreamEvent {
   enum Kind : std::uint8_t {
-    request_received,  // one that is complete, or whose body is too large to be held
-    body_received,     // more of that body is there, or all of it
-    response_taken,    // some of the response that streams to it has been taken
-    client_gone        // a client with an unanswered request has gone
+    request_received,  // the request is complete, or its body exceeds the buffer
+    body_received,     // more of a body that exceeds the buffer is received, or its end
+    response_taken,    // the client has taken part of a streamed response
+    client_gone        // the client left with its request unanswered
   } kind = request_received;
   ClientId client = 0;
-  SharedMessage message = {};  // with request_received alone
+  SharedMessage message = {};  // with request_received only
+};
+
+// Bounds on open client connections.
+struct ConnectionLimits {
+  std::size_t max_served = 0;    // connections meant to be served at a time
+  std::size_t max_overflow = 0;  // further connections whose requests are read to be rejected
 };
 
 class DownstreamConnections final : transport::Ready {
  public:
-  static constexpr std::uint8_t due_kind = 4;  // of its due times
-
-  // Listens from here on, unless `how` says later. Throws std::system_error where it can't. `loop`, `pool`,
-  // `due`, `now` (the turn's reading of the clock, in ms) and `tally` outlive it. `most_served` connections
-  // are meant to be served at a time; `most_beyond` more are read, so that what comes on them can be
-  // rejected.
-  DownstreamConnections(transport::Loop& loop, transport::Pool& pool, transport::DueTimes& due,
-                        const transport::Address& listen, const double& now_ms, std::size_t most_served,
-                        std::size_t most_beyond, RequestCounters& counters, transport::Listener::How how);
+  static constexpr std::uint8_t due_kind = 4;  // DueKey kind
+
+  // All parts outlive this object.
+  struct Parts {
+    transport::Loop& loop;
+    transport::Pool& buffers;
+    transport::DueTimes& due_times;
+    const double& now_ms;  // time of the loop turn
+    RequestCounters& counters;
+  };
+  // Starts to listen, unless `how.later`. Throws std::system_error if it can't bind or listen.
+  DownstreamConnections(const Parts& parts, const transport::Address& listen, const ConnectionLimits& limits,
+                        transport::Listener::How how);
   ~DownstreamConnections();
   DownstreamConnections(const DownstreamConnections&) = delete;
   DownstreamConnections& operator=(const DownstreamConnections&) = delete;
 
-  // What has happened since the caller last emptied this.
+  // Collected events; the caller clears them.
   [[nodiscard]] std::vector<DownstreamEvent>& events() { return events_; }
 
-  // Responses to the request in flight of that client; of no effect where it is gone or has its response.
-  // Out of buffers, a response becomes a bare 500 and the connection's last.
+  // Sends the response to the client's request in flight. No effect if the client is gone or answered.
+  // Without buffers, sends a bare 500 and closes the connection.
   void send_response(ClientId id, const protocol::Message& response);
-  // One of the proxy's own; `extra` holds whole header lines.
+  // Sends a response of the proxy itself. `extra`: complete header lines.
   void respond(ClientId id, int status, std::string_view extra, std::string_view body);
-  // The same for a message that can't be served: its connection ends with the response.
+  // Sends a response without a body, and closes the connection after it.
   void respond_and_close(ClientId id, int status);
-  // A response whose body streams: begin_response() sends its head and what there is of the body;
-  // continue_response() sends what has come since; abort_response() breaks the connection off, so that the
-  // client sees that the response is truncated.
+  // A streamed response: begin_response() sends the head and the received part of the body;
+  // continue_response() sends more of the body; abort_response() closes the connection so that the client
+  // detects the truncation.
   void begin_response(ClientId id, SharedMessage response);
   void continue_response(ClientId id);
   void abort_response(ClientId id);
-  // What was held of the request's body has been forwarded: more of it can be read.
+  // The buffered part of the request's body is forwarded: reads on.
   void request_body_forwarded(ClientId id);
-  // The request in flight of that client is of this class; below 0: of none that is counted.
+  // Sets the class under which the client's request is counted; -1: not counted.
   void set_request_class(ClientId id, int request_class);
 
-  // A due time of `due_kind` has come.
+  // The connection's due time has been reached.
   void deadline_reached(ClientId id);
-  // Accepts again where descriptors had run out. To be called now and then.
+  // Accepts again after descriptors ran out. Called periodically.
   void retry_accept();
-  // Frees the connections that were closed in this turn.
+  // Destroys the connections that were closed in this loop turn.
   void destroy_closed();
 
   [[nodiscard]] transport::Address address() const { return listener_.address(); }
   void listen() { listener_.listen(); }
   [[nodiscard]] bool listening() const { return listener_.listening(); }
-  // New connections come here rather than to the `nth` that listen beside it. False: the system does not
-  // allow it.
+  // Listener::take_new_connections().
   bool take_new_connections(std::uint32_t nth) { return listener_.take_new_connections(nth); }
-  // Connections that wait to be accepted are still accepted.
+  // Accepts the queued connections, then closes the listener.
   void stop_accepting();
-  // From now on each response is a connection's last; idle ones stay open for what may be on its way.
+  // Closes each connection after its next response; idle connections stay open for a request on the wire.
   void close_after_responses() { draining_ = true; }
-  // From now on each response is a connection's last, and idle ones are closed.
+  // Closes each connection after its next response, and idle connections at once.
   void drain();
 
-  // Which connections may be closed to make room.
+  // Which connections may be closed to free capacity.
   enum class ShedScope : std::uint8_t {
-    idle,             // those between requests, or past their last response
-    partial_request,  // also one with its first request begun
-    any               // also one that has only just connected
+    idle,             // between requests, or lingering
+    partial_request,  // also with an incomplete first request, after its grace
+    any               // also within the grace
   };
-  // Closes the connection that is the least loss. False: there is none.
+  // Closes the first connection in the order of ShedClass. False: there is none.
   bool shed(ShedScope scope);
-  // New limits, as in the constructor; idle connections beyond them are closed.
-  void set_limits(std::size_t most_served, std::size_t most_beyond);
+  // Sets the limits; closes idle connections above them.
+  void set_limits(const ConnectionLimits& limits);
   [[nodiscard]] std::size_t size() const { return connections_.size(); }
-  [[nodiscard]] std::size_t most_served() const { return most_served_; }
+  [[nodiscard]] std::size_t max_served() const { return limits_.max_served; }
 
  private:
   struct Connection;
-  // What may be shed, in that order; of each class the longest there first.
+  // The order of shedding; within a class the oldest first.
   enum class ShedClass : std::uint8_t {
-    silent,          // since it connected
-    lingering,       // has had its last response
+    silent,          // no byte since connecting
+    lingering,       // the last response is sent
     idle,            // between requests
-    partial_request  // has begun its first request
+    partial_request  // the first request is incomplete
   };
-  using ShedPosition = std::tuple<ShedClass, double, ClientId>;  // since when, in ms
+  using ShedPosition = std::tuple<ShedClass, double, ClientId>;  // class, since when in ms, id
 
   // Events of sockets.
   void ready(std::uint32_t events) override;
@@ -134,12 +143,14 @@
   void discard_input(Connection& c);
   [[nodiscard]] bool is_last_response(const Connection& c) const;
 
-  // A connection's life.
+  // Deadline, shedding and close of a connection.
   void set_deadline(Connection& c, double ms);
   void clear_deadline(Connection& c);
   void offer_to_shed(Connection& c, ShedClass shed_class);
   void keep_from_shedding(Connection& c);
   void report_gone(Connection& c);
+  void count_in_flight(Connection& c);
+  bool end_accounting(Connection& c);
   void count_outcome(Connection& c, int status);
   void close(Connection& c);
   [[nodiscard]] static bool idle(const Connection& c);
@@ -148,17 +159,18 @@
   transport::Pool& pool_;
   transport::DueTimes& due_;
   const double& now_ms_;
-  std::size_t most_served_, most_beyond_;
+  ConnectionLimits limits_;
   RequestCounters& counters_;
   transport::Listener listener_;
-  bool accept_blocked_ = false;  // connections may wait that there was no descriptor for
-  bool draining_ = false, stopping_ = false;
+  bool accept_blocked_ = false;  // accepting stopped for want of capacity or descriptors
+  bool draining_ = false;
+  bool stopping_ = false;
   static constexpr ClientId accept_retry_id = 0;  // the due time of the next attempt to accept
   double accept_retry_due_ = transport::DueTimes::none;
   ClientId next_id_ = accept_retry_id + 1;
   std::unordered_map<ClientId, std::unique_ptr<Connection>> connections_;
   std::set<ShedPosition> sheddable_;
-  std::vector<std::unique_ptr<Connection>> closed_;  // in this turn
+  std::vector<std::unique_ptr<Connection>> closed_;  // in this loop turn
   std::vector<DownstreamEvent> events_;
 };
 
--- a/src/proxy/downstream/requests.cpp
+++ b/src/proxy/downstream/requests.cpp
@@ -15,9 +15,11 @@
 
 namespace {
 
-// A body has, from its head on, this long and as long as its bytes take at this rate: half of what a slow
-// line brings. The grace ends so long after the request was due without a body, at the latest.
-constexpr double body_grace_ms = 800, most_body_grace_ms = 400, least_body_bytes_per_ms = 32;
+// A body's deadline: `body_grace_ms` after the request's head, at most `max_body_grace_ms` after the deadline
+// of a request without a body, extended by the received bytes at `min_body_bytes_per_ms`.
+constexpr double body_grace_ms = 800;
+constexpr double max_body_grace_ms = 400;
+constexpr double min_body_bytes_per_ms = 32;
 
 }  // namespace
 
@@ -27,8 +29,7 @@
       if (!c.request)
         c.request = std::make_shared<Message>(pool_, Message::Kind::request, Message::Body::streaming);
       if (!c.has_sent_request) {
-        // By the time without progress: a slow client's bytes go on coming, those of one that never ends do
-        // not.
+        // Restarts the grace on progress, so that a stalled client is shed before a slow one.
         offer_to_shed(c, ShedClass::partial_request);
       } else if (!c.request->started()) {
         keep_from_shedding(c);
@@ -39,8 +40,8 @@
       if (c.request->fault() != Fault::none)
         return respond_and_close(c, static_cast<int>(c.request->fault()));
       if (!had_head && c.request->head_complete() && !c.request->complete())
-        c.body_due_base =
-            std::max(c.due_ms, std::min(now_ms_ + body_grace_ms, c.due_ms + most_body_grace_ms));
+        c.body_due_base_ms =
+            std::max(c.due_ms, std::min(now_ms_ + body_grace_ms, c.due_ms + max_body_grace_ms));
       if (c.request->complete() || c.request->buffer_full()) return request_received(c);
       if (!fed) return c.stream.again(EPOLLIN);
     }
@@ -51,24 +52,23 @@
     }
     auto got = c.stream.fill();
     if (got == Stream::Got::nothing) return;
-    if (got != Stream::Got::bytes) return close(c);  // what was not whole was not taken
+    if (got != Stream::Got::bytes) return close(c);  // drops an incomplete request
   }
   c.stream.again(EPOLLIN);
 }
 
-// Takes what has come of the request; a body has as long as its bytes are worth. False: there is no buffer
-// now.
+// Parses the received bytes, and extends the body's deadline by them. False: the pool has no buffer now.
 bool DownstreamConnections::feed(Connection& c) {
   auto n = c.request->feed(c.stream.bytes());
   c.stream.consume(n);
   if (c.request->out_of_buffers()) return false;
-  if (!c.request->head_complete() || c.body_due_base == 0) return true;
+  if (!c.request->head_complete() || c.body_due_base_ms == 0) return true;
   c.body_bytes += n;
-  set_deadline(c, c.body_due_base + static_cast<double>(c.body_bytes) / least_body_bytes_per_ms - now_ms_);
+  set_deadline(c, c.body_due_base_ms + static_cast<double>(c.body_bytes) / min_body_bytes_per_ms - now_ms_);
   return true;
 }
 
-// What comes of a body whose request is in flight already.
+// Reads more of a body whose request is in flight.
 void DownstreamConnections::read_request_body(Connection& c) {
   auto report = [&] {
     if (!std::exchange(c.body_event_pending, true))
@@ -76,7 +76,7 @@
   };
   for (int i = 0; i < reads_per_turn; ++i) {
     while (!c.stream.bytes().empty()) {
-      if (c.request->buffer_full()) {  // until there is room, which is not the client's affair
+      if (c.request->buffer_full()) {  // pauses; the wait is not the client's fault
         c.paused_at_ms = now_ms_;
         return set_deadline(c, send_stall_ms);
       }
@@ -89,8 +89,7 @@
       if (c.request->complete()) {
         c.body_incoming = false;
         c.request.reset();
-        c.counted_in_flight = c.counted;
-        counters_.in_flight += c.counted_in_flight;
+        if (c.accounting == Connection::Accounting::awaiting_body) count_in_flight(c);
         if (c.peer_closed) report_gone(c);
         return clear_deadline(c);
       }
@@ -98,7 +97,7 @@
     }
     auto got = c.stream.fill();
     if (got == Stream::Got::nothing) return;
-    if (got != Stream::Got::bytes) return close(c);  // what was not whole was not taken
+    if (got != Stream::Got::bytes) return close(c);  // drops an incomplete request
   }
   c.stream.again(EPOLLIN);
 }
@@ -109,10 +108,15 @@
   auto& c = *it->second;
   c.body_event_pending = false;
   if (c.state != Connection::State::in_flight || !c.body_incoming) return;
-  if (c.paused_at_ms > 0) c.body_due_base += now_ms_ - std::exchange(c.paused_at_ms, 0);
+  if (c.paused_at_ms > 0) c.body_due_base_ms += now_ms_ - std::exchange(c.paused_at_ms, 0);
   read_request_body(c);
 }
 
+void DownstreamConnections::count_in_flight(Connection& c) {
+  c.accounting = Connection::Accounting::in_flight;
+  ++counters_.in_flight;
+}
+
 void DownstreamConnections::request_received(Connection& c) {
   c.state = Connection::State::in_flight;
   c.keep_alive = c.request->keep_alive();
@@ -124,14 +128,15 @@
   c.has_sent_request = true;
   keep_from_shedding(c);
   if (!c.body_incoming) clear_deadline(c);
-  c.counted = true;
   c.request_class = -1;
-  c.counted_in_flight = !c.body_incoming;  // taken with its last byte
-  counters_.in_flight += c.counted_in_flight;
+  if (c.body_incoming)
+    c.accounting = Connection::Accounting::awaiting_body;
+  else
+    count_in_flight(c);
   events_.push_back({.client = c.id, .message = c.request});
   if (c.body_incoming) return;
   c.request.reset();
-  // Its end may have been told before, with the response before it still on its way or bytes of it unread.
+  // epoll may have reported the client's close earlier: during the former response, or before all was read.
   if (c.peer_closed) report_gone(c);
 }
 
--- a/src/proxy/downstream/responses.cpp
+++ b/src/proxy/downstream/responses.cpp
@@ -13,18 +13,18 @@
 
 namespace {
 
-// Of a response that streams, so much is on its way out at a time.
-constexpr std::size_t most_queued_bytes = 32 * 1024;
-// After a last response the other side has this long, and this much more to send, until it ends the
-// connection: closed at once, with bytes of its own on the way, it might lose the response.
+// Limit of queued bytes of a streamed response.
+constexpr std::size_t max_queued_bytes = std::size_t{32} * 1024;
+// After the last response the connection stays open for this time, or until this much input is discarded: a
+// close with unread input sends a reset, on which the client may drop the response.
 constexpr double linger_ms = 1000;
-constexpr std::size_t linger_bytes = 256 * 1024;
-// The same for one that was answered while its body came.
+constexpr std::size_t linger_bytes = std::size_t{256} * 1024;
+// Linger time of a connection that was answered before its body was complete.
 constexpr double linger_incoming_body_ms = 10000;
 
 }  // namespace
 
-// The rest of a body that was answered as it came is no next request.
+// The rest of an incomplete body must not be read as the next request.
 bool DownstreamConnections::is_last_response(const Connection& c) const {
   return !c.keep_alive || draining_ || c.gone || c.body_incoming;
 }
@@ -92,19 +92,19 @@
   if (it == connections_.end() || !it->second->response) return;
   auto& c = *it->second;
   c.response.reset();
-  // Without a length or chunks an orderly end would pass for the response's.
+  // Without length and chunks an orderly close would mark the response as complete.
   if (!c.chunked) c.stream.reset();
   close(c);
 }
 
-// Passes on what there is of a response that streams, as far as the client takes it.
+// Forwards the received part of a streamed response, as far as the client takes it.
 void DownstreamConnections::pump_response(Connection& c) {
   bool moved = false, out_of_buffers = false;
   for (;;) {
     auto before = c.stream.out().size();
     if (!c.stream.flush()) return close(c);
     if (c.stream.out().size() < before) set_deadline(c, send_stall_ms);
-    if (c.response_ended || c.stream.out().size() >= most_queued_bytes) break;
+    if (c.response_ended || c.stream.out().size() >= max_queued_bytes) break;
     auto how = c.response->move_body(c.stream.out(), c.chunked);
     moved = moved || how == Message::MoveResult::moved;
     if (how == Message::MoveResult::moved) continue;
@@ -124,7 +124,7 @@
 
 void DownstreamConnections::start_sending(Connection& c, bool written) {
   if (!written) {
-    // Out of buffers: a bare status, which needs but one, is better than no response.
+    // Out of buffers: sends a bare status, which needs a single buffer.
     c.stream.out().clear();
     c.keep_alive = false;
     c.status = 500;
@@ -137,7 +137,7 @@
   continue_sending(c);
 }
 
-// Goes on with a response, and after it with the next request, which may be here already.
+// Sends more of the response; after its end reads the next request, which may be received already.
 void DownstreamConnections::continue_sending(Connection& c) {
   if (c.response) return pump_response(c);
   auto before = c.stream.out().size();
@@ -153,14 +153,14 @@
     return discard_input(c);
   }
   c.state = Connection::State::reading;
-  c.body_due_base = 0;
+  c.body_due_base_ms = 0;
   c.body_bytes = 0;
   clear_deadline(c);
   offer_to_shed(c, ShedClass::idle);
   read_request(c);
 }
 
-// What still comes after a last response is dropped, up to a bound: some send at full speed without end.
+// Discards input after the last response, up to a bound, because a client may send without end.
 void DownstreamConnections::discard_input(Connection& c) {
   for (int i = 0; i < reads_per_turn; ++i) {
     c.discarded_bytes += c.stream.bytes().size();
--- a/src/proxy/downstream/shedding.cpp
+++ b/src/proxy/downstream/shedding.cpp
@@ -1,4 +1,4 @@
-// DownstreamConnections: accepting connections, and closing those that can be spared to make room.
+// DownstreamConnections: accepting connections, and shedding them to free capacity.
 #include <memory>
 #include <utility>
 
@@ -8,21 +8,24 @@
 
 namespace {
 
-// Not shed for this long after connecting, and after the last bytes of a first request.
-constexpr double new_connection_grace_ms = 25, partial_request_grace_ms = 100;
-// How many sockets are looked at for one that can be shed.
-constexpr int most_sockets_tried = 16;
+// Time after connecting in which a silent connection is not shed.
+constexpr double new_connection_grace_ms = 25;
+// Time after the last received bytes in which an incomplete first request is not shed.
+constexpr double partial_request_grace_ms = 100;
+// Sockets examined per call of shed().
+constexpr int max_sockets_tried = 16;
 
 }  // namespace
 
 void DownstreamConnections::accept_all() {
   for (accept_blocked_ = false; listener_.open();) {
-    // Idle ones make way first. Beyond the bound there is still room to read what comes and to reject it:
-    // a request that waits with the system is as good as taken, and lost when its time is over.
-    if (connections_.size() >= most_served_ && !shed(ShedScope::idle) &&
-        connections_.size() >= most_served_ + most_beyond_ && !shed(ShedScope::partial_request)) {
+    // Sheds idle connections first. The overflow above `max_served` is accepted so that its requests are
+    // rejected at once: in the listen queue they would wait until their clients time out.
+    if (connections_.size() >= limits_.max_served && !shed(ShedScope::idle) &&
+        connections_.size() >= limits_.max_served + limits_.max_overflow &&
+        !shed(ShedScope::partial_request)) {
       accept_blocked_ = true;
-      // Some of those that have only just connected can be spared by then.
+      // Retries when the grace of the newest connections is over.
       due_.set(transport::due_key(due_kind, accept_retry_id), accept_retry_due_,
                now_ms_ + new_connection_grace_ms);
       return;
@@ -63,10 +66,10 @@
     return shed_class == ShedClass::partial_request ? partial_request_grace_ms : 0;
   };
   int tried = 0;
-  for (auto it = sheddable_.begin(); it != sheddable_.end() && tried < most_sockets_tried;) {
+  for (auto it = sheddable_.begin(); it != sheddable_.end() && tried < max_sockets_tried;) {
     const auto& [shed_class, since, id] = *it;
     if (shed_class == ShedClass::partial_request && scope == ShedScope::idle) break;
-    // A flood of connections would push out, in one batch, a client whose request is on its way.
+    // The grace protects a client whose request is on the wire from a flood of new connections.
     double grace_ms = shed_grace_ms(shed_class);
     if (scope != ShedScope::any && now_ms_ - since < grace_ms) {
       it = sheddable_.lower_bound(
@@ -74,7 +77,7 @@
       continue;
     }
     auto& c = *connections_.at(id);
-    // With something unread there may be a request in it.
+    // Unread input may be a request.
     if (shed_class == ShedClass::lingering || c.stream.quiet()) {
       close(c);
       return true;
@@ -85,14 +88,13 @@
   return false;
 }
 
-void DownstreamConnections::set_limits(std::size_t most_served, std::size_t most_beyond) {
-  most_served_ = most_served;
-  most_beyond_ = most_beyond;
-  while (connections_.size() > most_served + most_beyond && shed(ShedScope::idle)) {
+void DownstreamConnections::set_limits(const ConnectionLimits& limits) {
+  limits_ = limits;
+  while (connections_.size() > limits.max_served + limits.max_overflow && shed(ShedScope::idle)) {
   }
 }
 
-// What has come before the end is taken: in overload that lasts until there is room.
+// Accepts the queued connections before the listener closes; in overload that waits for capacity.
 void DownstreamConnections::stop_accepting() {
   stopping_ = true;
   accept_all();
--- a/src/proxy/request/forwarder.cpp
+++ b/src/proxy/request/forwarder.cpp
@@ -76,7 +76,7 @@
 
 void RequestForwarder::request_received(DownstreamEvent& event) {
   bool at_capacity = static_cast<double>(in_flight_.size()) >= settings_.max_in_flight ||
-                     unanswered_.size() >= downstream_.most_served();
+                     unanswered_.size() >= downstream_.max_served();
   auto result = admission_.admit(
       *event.message,
       {.unanswered_ids = unanswered_ids_, .at_capacity = at_capacity, .fleet_limits = request_filter_});
