--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -6,19 +6,19 @@
 namespace meadowgauge::protocol {
 namespace {
 
-// The text under `name`; empty where there is none.
+// The text member `name`; empty if absent.
 std::string text_member(const Json& entry, std::string_view name) {
   const auto* v = entry.find(name);
   return v && v->text() ? *v->text() : std::string{};
 }
 
-// The number under `name`; absent where there is none.
+// The number member `name`.
 std::optional<double> number_member(const Json& entry, std::string_view name) {
   const auto* v = entry.find(name);
   return v ? v->number() : std::nullopt;
 }
 
-// Fills `host`; returns what is wrong with the entry, empty where nothing is.
+// Fills `host`. Returns an error text; empty if the entry is valid.
 std::string read_host(const Json& entry, EndpointListEntry& host) {
   host.name = text_member(entry, "host");
   if (host.name.empty()) return "an entry has no host";
--- a/src/protocol/endpoint_list.hpp
+++ b/src/protocol/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// Endpoint lists as discovery and configurations word them, and the framing of the watch that carries them.
+// Endpoint lists in the format of discovery and configurations, and the framing of a watch.
 #pragma once
 
 #include <cstdint>
@@ -12,32 +12,32 @@
 
 namespace meadowgauge::protocol {
 
-// One server of an endpoint list.
+// One endpoint of an endpoint list.
 struct EndpointListEntry {
   enum class Health : std::uint8_t { active, leaving, left };
   std::string name, dial, zone, kind;  // `dial`: the address of its connections
-  int block = 0;                       // the cell that it fails together with; below 0: none is stated
+  int block = 0;                       // failure domain (cell); negative: not stated
   Health health = Health::active;
   double weight = 1;
   double started_ms = 0;  // ms of Unix time; 0: not stated
 };
 
 struct EndpointList {
-  std::int64_t seq = 0;                  // its version, by the count of whoever wrote it
-  bool full = false;                     // it names all servers; otherwise only those that changed
-  std::vector<EndpointListEntry> hosts;  // the valid entries, in the list's order
-  std::vector<std::string> skipped;      // what is wrong with each entry that was left out
+  std::int64_t seq = 0;                  // version, assigned by the writer
+  bool full = false;                     // a full list; otherwise the changed endpoints only
+  std::vector<EndpointListEntry> hosts;  // valid entries, in the order of the list
+  std::vector<std::string> skipped;      // one error text per invalid entry
 };
 
-// Absent where `value` is no endpoint list. An invalid entry is left out and told of in `skipped`.
+// Absent if `value` is not an endpoint list. Skips invalid entries, with an error text in `skipped`.
 std::optional<EndpointList> read_endpoint_list(const Json& value);
 
-// Splits the bytes of a watch into lines. A line that is too long is dropped.
+// Splits the bytes of a watch into lines. Drops lines over `max_line_bytes`.
 class LineReader {
  public:
   static constexpr std::size_t max_line_bytes = 2 << 20;
 
-  // Calls on_line(std::string_view), without the line's end, for each line that `in` completes.
+  // Calls on_line(std::string_view), without line ending, for each line that `in` completes.
   template <class F>
   void feed(std::string_view in, F&& on_line) {
     while (!in.empty()) {
@@ -55,15 +55,16 @@
       dropping_ = false;
     }
   }
-  // Whether a line has been dropped since the last call.
+  // Whether a line was dropped since the last call.
   bool take_overflow() { return std::exchange(overflowed_, false); }
 
  private:
-  std::string partial_;  // the line that has not ended yet
-  bool dropping_ = false, overflowed_ = false;
+  std::string partial_;  // the incomplete line
+  bool dropping_ = false;
+  bool overflowed_ = false;
 };
 
-// Tells from its brackets alone whether a JSON value that comes in pieces is still incomplete.
+// Tracks by brackets and quotes whether a JSON value received in pieces is still incomplete.
 class JsonNesting {
  public:
   void feed(std::string_view text) {
@@ -80,12 +81,13 @@
       }
     }
   }
-  // Whether a string or a bracket is still open.
+  // Whether a string or bracket is open.
   [[nodiscard]] bool open() const { return in_string_ || depth_ > 0; }
 
  private:
   int depth_ = 0;
-  bool in_string_ = false, escaped_ = false;
+  bool in_string_ = false;
+  bool escaped_ = false;
 };
 
 }  // namespace meadowgauge::protocol
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -12,11 +12,11 @@
 namespace meadowgauge::protocol {
 namespace {
 
-constexpr std::size_t max_framing_line = 256;
+constexpr std::size_t max_framing_line_bytes = 256;
 
 bool is_control(char c) { return static_cast<unsigned char>(c) < 32; }
 
-// Removes from `in` what it holds up to the next \n, which is included if it has come.
+// Removes and returns the bytes of `in` up to and including the next \n, or all bytes without a \n.
 std::string_view take_line(std::string_view& in) {
   auto newline = in.find('\n');
   auto line = in.substr(0, newline == std::string_view::npos ? in.size() : newline + 1);
@@ -112,7 +112,7 @@
   return given - in.size();
 }
 
-// Takes bytes of the body off `in`. False: it can hold no more of them now, or ever.
+// Removes bytes of the body from `in`. False: the buffer is full, or there is a fault.
 bool Message::feed_body(std::string_view& in) {
   auto piece = in.substr(0, remaining_);
   if (body_ == Body::streaming) {
@@ -135,10 +135,10 @@
   return true;
 }
 
-// Takes a line of the head, or the part of it that has come, off `in`. False: it does not fit.
+// Removes a complete or partial line of the head from `in`. False: it does not fit.
 bool Message::feed_head_line(std::string_view& in) {
   auto piece = take_line(in);
-  // The head stays within one buffer, so that views of it hold.
+  // The head must fit in one buffer: views of it are contiguous.
   if (bytes_.size() + piece.size() > transport::buffer_size) {
     fail(Fault::head_too_large);
     return false;
@@ -154,10 +154,10 @@
   return true;
 }
 
-// The same of a line between chunks or of the trailer.
+// Removes a complete or partial line of chunk framing or trailer from `in`. False: it does not fit.
 bool Message::feed_framing_line(std::string_view& in) {
   auto piece = take_line(in);
-  if (framing_.size() + piece.size() > max_framing_line) {
+  if (framing_.size() + piece.size() > max_framing_line_bytes) {
     fail(Fault::malformed);
     return false;
   }
@@ -169,15 +169,13 @@
   return true;
 }
 
-// A line without its \n; anything but \r\n at an end is an error, as other readers might end the line
-// elsewhere.
+// `text`: a line without its \n. Refuses a line without \r\n, because parsers differ on where it ends.
 void Message::parse_line(std::string_view text) {
   if (!text.ends_with('\r')) return fail(Fault::malformed);
   text.remove_suffix(1);
   switch (state_) {
     case ParseState::start:
-      if (text.empty() && kind_ == Kind::request &&
-          !empty_line_skipped_) {  // one before a request is let pass
+      if (text.empty() && kind_ == Kind::request && !empty_line_skipped_) {  // RFC 9112, 2.2
         empty_line_skipped_ = true;
         bytes_.clear();
         line_start_ = 0;
@@ -245,7 +243,7 @@
 
 bool Message::parse_field_line(std::string_view text) {
   auto colon = text.find(':');
-  // A name that is no token is also how a folded line looks.
+  // This refuses folded lines too: their leading blank is not part of a token.
   if (colon == std::string_view::npos || !is_token(text.substr(0, colon))) return false;
   auto value = trimmed(text.substr(colon + 1));
   for (char c : value)
@@ -254,7 +252,7 @@
   return true;
 }
 
-// Two lengths, or a length with chunks, would let two readers see different messages: an error.
+// Refuses two lengths, or a length with chunks: parsers differ on where such a message ends.
 void Message::determine_framing() {
   const int lengths = count("Content-Length");
   const int codings = count("Transfer-Encoding");
@@ -273,7 +271,7 @@
       return fail(Fault::malformed);
     state_ = ParseState::chunk_size;
   } else {
-    // Ended by the connection's end, which it must say: a truncated one would pass for complete.
+    // Close-delimited. Requires `Connection: close`, because a truncated response would look complete.
     if (body_ != Body::streaming || keep_alive()) return fail(Fault::malformed);
     remaining_ = std::string_view::npos;
     state_ = ParseState::until_close;
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages: an incremental parser. Bytes in, values out.
+// Incremental parser of HTTP/1.1 messages.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,9 @@
 
 namespace meadowgauge::protocol {
 
-// The most of a body that a message holds at a time, and the largest body that a streaming one accepts; in
-// bytes.
+// Bytes of a body that a message buffers at a time.
 inline constexpr std::size_t max_buffered_body = std::size_t{64} * 1024;
+// Bytes of the largest accepted streamed body.
 inline constexpr std::size_t max_streamed_body = std::size_t{33} * 1024 * 1024;
 inline constexpr std::size_t max_header_fields = 100;
 
@@ -22,7 +22,7 @@
   std::string_view name, value;
 };
 
-// Why a message is not accepted. The value is the HTTP status that answers a request with this fault.
+// Why a message is refused. The value is the HTTP status of the response to such a request.
 enum class Fault : std::uint16_t {
   none = 0,
   malformed = 400,
@@ -31,15 +31,15 @@
   out_of_buffers = 503
 };
 
-// One message, parsed incrementally. Its bytes lie in buffers of the pool: the head in the first one, then
-// the body without its framing. Names, values and the target are views of the head and last until reset().
+// One message, parsed incrementally. Its bytes are in buffers of the pool: the head in the first buffer, then
+// the body without framing. Names, values and the target are views of the head, valid until reset().
 class Message {
  public:
   enum class Kind : std::uint8_t { request, response };
   enum class Body : std::uint8_t {
-    buffered,  // held complete, `max_buffered_body` at most
-    endless,   // without a bound; the caller removes it with extract_body()
-    streaming  // held up to `max_buffered_body` at a time; move_body() frees space for more
+    buffered,  // buffered whole, up to `max_buffered_body`
+    endless,   // no bound; the caller drains it with extract_body()
+    streaming  // buffers up to `max_buffered_body` at a time; move_body() frees space
   };
   enum class MoveResult : std::uint8_t { nothing, moved, out_of_buffers };
 
@@ -47,64 +47,64 @@
   Message(transport::Pool& pool, Kind kind, Body body = Body::buffered)
       : kind_(kind), body_(body), bytes_(pool) {}
 
-  // Consumes the bytes of `in` that belong to this message and returns how many they were. Fewer than all:
-  // the message is complete, has a fault, or (of a streaming body) can hold no more at the moment.
+  // Consumes the bytes of `in` that belong to this message; returns their number. Fewer than all: the message
+  // is complete, has a fault, or its buffer is full (streaming body).
   std::size_t feed(std::string_view in);
-  // Prepares for the next message; its buffers go back to the pool, and all views end.
+  // Prepares for the next message. Releases the buffers and invalidates all views.
   void reset();
-  // For a response to HEAD, which states a length and has no body.
+  // For the response to HEAD: a length without a body.
   void expect_no_body() { no_body_ = true; }
   [[nodiscard]] bool no_body() const { return no_body_; }
 
   // Whether any byte has been received.
   [[nodiscard]] bool started() const { return state_ != ParseState::start || bytes_.size() > 0; }
-  // Whether all of the head has been received, and nothing is wrong so far.
+  // Whether the head is received to its end, without a fault so far.
   [[nodiscard]] bool head_complete() const { return state_ > ParseState::field && fault_ == Fault::none; }
-  // Whether all of the message has been received.
+  // Whether the message is received to its end.
   [[nodiscard]] bool complete() const { return state_ == ParseState::complete; }
-  // Once it is not `none`, nothing more is consumed until reset().
+  // After a fault nothing is consumed until reset().
   [[nodiscard]] Fault fault() const { return fault_; }
 
-  // Of a request; a response has a status instead.
+  // Of a request. A response has a status.
   [[nodiscard]] std::string_view method() const { return method_; }
   [[nodiscard]] std::string_view target() const { return target_; }
   [[nodiscard]] int status() const { return status_; }
   [[nodiscard]] const std::vector<Field>& fields() const { return fields_; }
-  // The value of the first field of that name; empty where there is none.
+  // The value of the first field named `name`; empty if there is none.
   [[nodiscard]] std::string_view find(std::string_view name) const;
-  // How many fields have that name.
+  // The number of fields named `name`.
   [[nodiscard]] int count(std::string_view name) const;
   // Whether the connection may carry another message after this one.
   [[nodiscard]] bool keep_alive() const;
   [[nodiscard]] bool is_http_1_0() const { return is_http_1_0_; }
-  // Whether the field goes on to the next hop: it is not hop-by-hop (RFC 9110, 7.6.1).
+  // Whether the field is end-to-end: forwarded to the next hop (RFC 9110, 7.6.1).
   [[nodiscard]] bool is_forwarded(const Field& field) const;
 
-  // Bytes of the body that are held.
+  // Buffered bytes of the body.
   [[nodiscard]] std::size_t body_size() const { return bytes_.size() - head_size_; }
-  // Of a streaming body: whether as much of it is held as may be.
+  // Streaming body: whether `max_buffered_body` bytes are buffered.
   [[nodiscard]] bool buffer_full() const { return body_size() >= max_buffered_body; }
-  // Of a streaming body: whether the pool had no buffer for the last bytes fed; they can be fed again later.
+  // Streaming body: whether the pool had no buffer in the last feed(), which can be retried later.
   [[nodiscard]] bool out_of_buffers() const { return out_of_buffers_; }
-  // Whether part of the body has been moved on, so that the message can't be sent once more.
+  // Whether move_body() has removed part of the body: the message can't be sent again.
   [[nodiscard]] bool partly_forwarded() const { return partly_forwarded_; }
-  // Whether the head states a body that can't be held at once.
+  // Whether the stated length exceeds `max_buffered_body`.
   [[nodiscard]] bool exceeds_buffer() const { return length_ && *length_ > max_buffered_body; }
-  // The body's length as the head states it; absent for chunked and close-delimited bodies.
+  // The body's Content-Length; absent for chunked and close-delimited bodies.
   [[nodiscard]] std::optional<std::size_t> length() const { return length_; }
-  // Whether the end of the connection is what ends this response (RFC 9112, 6.3).
+  // Whether the connection's close ends this response (RFC 9112, 6.3).
   [[nodiscard]] bool close_delimited() const { return state_ == ParseState::until_close; }
-  // The connection has ended in order, which completes a close-delimited response.
+  // Orderly close of the connection; completes a close-delimited response.
   void connection_closed();
-  // Moves what is held of the body to `out`, as one chunk if asked. Nothing moves where the pool is out of
-  // buffers.
+  // Moves the buffered part of the body to `out`, as one chunk if `chunked`. Moves nothing if the pool is out
+  // of buffers.
   MoveResult move_body(transport::Chain& out, bool chunked);
-  // Calls f(std::string_view) for each piece of the body that is held.
+  // Calls f(std::string_view) for each contiguous piece of the buffered body.
   template <class F>
   void for_each_body_segment(F&& f) const {
     bytes_.each(head_size_, f);
   }
-  // Removes the held body and returns it.
+  // Removes and returns the buffered body.
   std::string extract_body();
 
  private:
@@ -144,19 +144,20 @@
   transport::Chain bytes_;
   ParseState state_ = ParseState::start;
   Fault fault_ = Fault::none;
-  std::size_t line_start_ = 0;  // in the head
-  std::string framing_;         // a line of chunk framing under way
-  std::size_t remaining_ = 0;   // of the body or the chunk
+  std::size_t line_start_ = 0;  // offset in the head
+  std::string framing_;         // incomplete line of chunk framing
+  std::size_t remaining_ = 0;   // bytes left of the body or the chunk
   std::size_t head_size_ = 0, trailer_size_ = 0;
   std::vector<Field> fields_;
   std::string_view method_, target_;
   int status_ = 0;
   bool is_http_1_0_ = false;         // HTTP/1.0
-  bool empty_line_skipped_ = false;  // one came before the request
+  bool empty_line_skipped_ = false;  // before the request line
   bool no_body_ = false;
-  bool out_of_buffers_ = false, partly_forwarded_ = false;
-  std::size_t body_total_ = 0;         // as much as has come
-  std::optional<std::size_t> length_;  // as stated
+  bool out_of_buffers_ = false;
+  bool partly_forwarded_ = false;
+  std::size_t body_total_ = 0;         // received bytes
+  std::optional<std::size_t> length_;  // by Content-Length
 };
 
 }  // namespace meadowgauge::protocol
--- a/src/protocol/http_writer.cpp
+++ b/src/protocol/http_writer.cpp
@@ -47,7 +47,7 @@
   head.append(name).append(": ").append(value).append("\r\n");
 }
 
-// The fields of `message` that go on to the next hop, but for the one named `replaced`.
+// Appends the end-to-end fields of `message`, without the field `replaced`.
 void add_forwarded_fields(std::string& head, const Message& message, std::string_view replaced) {
   for (const auto& field : message.fields())
     if (message.is_forwarded(field) && !equals_ignoring_case(field.name, replaced))
@@ -58,12 +58,12 @@
   std::string head;
   head.append(request.method()).append(" ").append(request.target()).append(" HTTP/1.1\r\n");
   add_forwarded_fields(head, request, names::time_budget);
-  if (request.count("Host") == 0) add_field(head, "Host", "");  // HTTP/1.0 does not ask for one, 1.1 does
+  if (request.count("Host") == 0) add_field(head, "Host", "");  // required by HTTP/1.1, not by 1.0
   add_field(head, names::time_budget, std::to_string(std::max(0L, std::lround(std::floor(budget_ms)))));
   return head;
 }
 
-// A response is only forwarded when its status is 200; the load report is for the balancer.
+// Only responses with status 200 are forwarded. The load report is for the balancer.
 std::string response_head(const Message& response, bool close) {
   std::string head = "HTTP/1.1 200 OK\r\n";
   add_forwarded_fields(head, response, names::load_report);
@@ -71,7 +71,7 @@
   return head;
 }
 
-// Ends the head with the framing of a body that streams behind it.
+// Ends the head of a message with a streamed body.
 void add_framing(std::string& head, const Message& message, bool& chunked) {
   chunked = !message.length();
   if (chunked)
@@ -81,9 +81,9 @@
   head += "\r\n";
 }
 
-// Ends the head with the length of the body that is held, and appends both.
+// Ends the head with the length of the buffered body, and appends both.
 bool append_with_body(transport::Chain& out, std::string& head, const Message& message) {
-  if (message.no_body()) {  // the response to a HEAD states the length that the one to a GET would have
+  if (message.no_body()) {  // response to HEAD: states the length of the response to GET
     if (auto length = message.find("Content-Length"); !length.empty())
       add_field(head, "Content-Length", length);
   } else if (message.body_size() > 0 || message.method() != "GET") {
@@ -121,7 +121,7 @@
 
 bool write_response_head(transport::Chain& out, const Message& response, bool close, bool to_http_1_0,
                          bool& chunked) {
-  // HTTP/1.0 knows no chunks: the connection's end is what ends a body of unknown length.
+  // HTTP/1.0 has no chunks: the connection's close ends a body of unknown length.
   bool ends_with_connection = to_http_1_0 && !response.length();
   auto head = response_head(response, close || ends_with_connection);
   if (ends_with_connection) {
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -9,7 +9,7 @@
  public:
   explicit JsonReader(std::string_view text) : text_(text) {}
 
-  // Reads the one value that the text is to hold. False: it does not, and error() says why.
+  // Reads exactly one value. False: the text is invalid, see error().
   bool read(Json& into) {
     if (!value(into, 0)) return false;
     skip_space();
@@ -18,7 +18,7 @@
   [[nodiscard]] const JsonError& error() const { return error_; }
 
  private:
-  // Nested deeper, a hostile text would exhaust the stack.
+  // Levels of nesting; the bound protects the stack from hostile texts.
   static constexpr int max_depth = 64;
 
   bool fail(const char* what) {
@@ -93,7 +93,7 @@
     double v = 0;
     auto rest = text_.substr(at_);
     auto [end, bad] = std::from_chars(rest.data(), rest.data() + rest.size(), v);
-    // from_chars also knows inf and nan, which JSON does not.
+    // from_chars also accepts inf and nan, which are not JSON.
     if (bad != std::errc{} || !std::isfinite(v) || (rest[0] != '-' && (rest[0] < '0' || rest[0] > '9')))
       return fail("not a value");
     at_ += static_cast<std::size_t>(end - rest.data());
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -11,7 +11,7 @@
 
 namespace meadowgauge::protocol {
 
-// Why a text is no JSON value: the first thing that is wrong, and the byte (from 0) where the reader stood.
+// Why a text is not a JSON value: the first error, and its byte offset.
 struct JsonError {
   std::string what;
   std::size_t at_byte = 0;
@@ -20,31 +20,31 @@
 // "WHAT at byte N", for logs.
 std::string message(const JsonError& error);
 
-// One JSON value, which owns all that is below it. Numbers keep the text that they were written as.
+// One JSON value; owns its members and elements. Numbers keep their original text.
 class Json {
  public:
   using List = std::vector<Json>;
   using Object = std::vector<std::pair<std::string, Json>>;
   struct Number {
-    std::string text;  // as it was written
+    std::string text;  // the original text
   };
 
-  // A null. Defined out of line, where Json is complete: with the constructor implicit, clang asks whether it
-  // exists while the variant's alternatives are still incomplete, and takes it for absent.
+  // A null. Not implicit: clang checks an implicit constructor while the variant's alternatives are
+  // incomplete, and then treats it as deleted.
   Json();
 
-  // Absent, with `error` filled where it is given, where the text is not exactly one JSON value.
+  // Absent if the text is not exactly one JSON value. `error`: filled then, unless null.
   static std::optional<Json> parse(std::string_view text, JsonError* error = nullptr);
 
-  // The first member of that name; null where there is none, or this is no object.
+  // The first member named so; null if there is none, or this is not an object.
   [[nodiscard]] const Json* find(std::string_view name) const;
-  // What this holds; null, or absent, where it holds another kind of value.
+  // The value by type; null or absent if it has another type.
   [[nodiscard]] const Object* object() const { return std::get_if<Object>(&value_); }
   [[nodiscard]] const List* list() const { return std::get_if<List>(&value_); }
   [[nodiscard]] const std::string* text() const { return std::get_if<std::string>(&value_); }
   [[nodiscard]] std::optional<double> number() const;
   [[nodiscard]] std::optional<bool> truth() const;
-  // A simple value as settings write it; an empty one for null.
+  // A scalar in the format of settings; empty for null.
   [[nodiscard]] std::string plain() const;
   [[nodiscard]] bool simple() const { return object() == nullptr && list() == nullptr; }
 
@@ -53,7 +53,8 @@
   std::variant<std::nullptr_t, bool, Number, std::string, List, Object> value_ = nullptr;
 };
 
-// path=value: nested names joined by dots, simple lists by commas, lists of objects as .count, .0, .1 and on.
+// path=value: nested names joined by dots, lists of scalars by commas, lists of objects as .count, .0, .1,
+// ...
 template <class Map>
 void flatten(const Json& value, const std::string& path, Map& into) {
   auto below = [&](std::string_view name) {
--- a/src/protocol/load_report.cpp
+++ b/src/protocol/load_report.cpp
@@ -9,7 +9,7 @@
 namespace meadowgauge::protocol {
 namespace {
 
-// The settings and the header may name the same figure differently.
+// Pairs of names for the same figure, in settings and header.
 constexpr std::array<std::pair<std::string_view, std::string_view>, 6> synonyms{{{"concurrent", "inflight"},
                                                                                  {"depth", "queue"},
                                                                                  {"load_share", "util"},
@@ -18,12 +18,13 @@
                                                                                  {"err_ps", "eps"}}};
 
 constexpr float max_load_share = 4;
-constexpr float max_figure = 1e7F;
+// Bound of all other figures, in the unit of the column.
+constexpr float max_figure_value = 1e7F;
 
-// What no server can mean: a share of its cores far above one, any figure below zero, or one beyond counting.
+// Whether the value is negative, not a number, or above the bound of its column.
 bool is_implausible(std::string_view column, float value) {
   bool share = equals_ignoring_case(column, "load_share") || equals_ignoring_case(column, "util");
-  return !(value >= 0) || value > (share ? max_load_share : max_figure);
+  return !(value >= 0) || value > (share ? max_load_share : max_figure_value);
 }
 
 bool names_same_figure(std::string_view column, std::string_view name) {
@@ -41,7 +42,7 @@
   std::array<bool, max_reported_figures> present{};
   while (!text.empty()) {
     auto item = named_value(take_item(text, " "));
-    if (!item) return {};  // cut short or not a report: nothing of it is used
+    if (!item) return {};  // truncated, or not a report
     for (std::size_t i = 0; i < known; ++i) {
       if (!names_same_figure(columns[i], item->name)) continue;
       auto value = parse_number<float>(item->value);
@@ -50,7 +51,7 @@
       present[i] = true;
     }
   }
-  // Up to the first that is missing: the rest would stand in the wrong place.
+  // Stops at the first missing figure, because values are assigned to columns by position.
   while (report.count < static_cast<int>(known) && present[static_cast<std::size_t>(report.count)])
     ++report.count;
   return report;
--- a/src/protocol/load_report.hpp
+++ b/src/protocol/load_report.hpp
@@ -1,5 +1,4 @@
-// Load reports of servers as they stand on the wire, in a response header or in the response to a probe:
-// name=value,name=value.
+// Parser of load reports, from a response header or the response to a load probe: name=value,name=value.
 #pragma once
 
 #include <array>
@@ -11,14 +10,14 @@
 
 inline constexpr std::size_t max_reported_figures = 4;
 
-// The figures that a load report states, in the order of the configured columns, which also give their units.
+// The figures of a load report, in the order and the units of the configured columns.
 struct ReportedFigures {
-  int count = 0;  // how many of `values` are there
+  int count = 0;  // number of valid `values`
   std::array<float, max_reported_figures> values{};
 };
 
-// Reads the figures named by `columns`, up to the first that is missing. Never fails: a report that is
-// malformed or implausible has no figures.
+// Reads the figures named by `columns`, up to the first missing figure. Returns no figures for a malformed or
+// implausible report.
 ReportedFigures read_load_report(std::string_view text, const std::vector<std::string_view>& columns);
 
 }  // namespace meadowgauge::protocol
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -1,4 +1,4 @@
-// The names that the wire gives to headers and paths: the one place where they are mapped to ours.
+// Headers and paths on the wire, mapped to the names that the code uses.
 #pragma once
 
 #include <string_view>
@@ -9,18 +9,19 @@
 inline constexpr std::string_view request_id = "X-Call-Id";
 inline constexpr std::string_view tenant = "X-Caller";
 inline constexpr std::string_view time_budget = "X-Budget-Ms";  // ms left until the client's deadline
-inline constexpr std::string_view client_retry = "X-Again";     // "1": the client has sent it before
+inline constexpr std::string_view client_retry = "X-Again";     // "1": the client repeats the request
 inline constexpr std::string_view idempotency_key = "Idempotency-Key";
-inline constexpr std::string_view request_hints = "X-Call-Info";  // what it costs and is about
+inline constexpr std::string_view request_hints = "X-Call-Info";  // cost and affinity key
 
 // Headers of responses.
 inline constexpr std::string_view load_report = "X-Load-Report";
-inline constexpr std::string_view not_executed = "X-Rejected";  // "1": the server rejected it before it ran
+inline constexpr std::string_view not_executed =
+    "X-Rejected";  // "1": the endpoint has not executed the request
 
-// Paths that the balancer answers itself: readiness, and the prefix that is reserved for them.
+// Paths served by the balancer: readiness, and the reserved prefix.
 inline constexpr std::string_view local_ready = "/-/ready";
 inline constexpr std::string_view local_paths = "/-/";
-// Paths that the balancer requests of upstreams and of discovery.
+// Paths that the balancer requests from endpoints and discovery.
 inline constexpr std::string_view upstream_health = "/-/healthy";
 inline constexpr std::string_view upstream_load = "/-/load";
 inline constexpr std::string_view endpoint_list = "/api/targets";
--- a/src/protocol/request_hints.cpp
+++ b/src/protocol/request_hints.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-// FNV-1a: no key of ours depends on it being hard to find names that collide.
+// FNV-1a: affinity keys need no resistance to deliberate collisions.
 std::uint64_t stable_hash(std::string_view name) {
   constexpr std::uint64_t offset_basis = 0xcbf29ce484222325;
   constexpr std::uint64_t prime = 0x100000001b3;
--- a/src/protocol/target.cpp
+++ b/src/protocol/target.cpp
@@ -6,10 +6,10 @@
 namespace meadowgauge::protocol {
 namespace {
 
-// Beyond so many layers of percent encoding readers differ too much to tell.
+// Layers of percent encoding; a path with more is refused as ambiguous.
 constexpr int max_decodings = 4;
 
-// The value of a hexadecimal digit, -1 of any other character.
+// The value of a hexadecimal digit; -1 for other characters.
 int hex_digit(char c) {
   if (c >= '0' && c <= '9') return c - '0';
   if (c >= 'a' && c <= 'f') return c - 'a' + 10;
@@ -17,7 +17,7 @@
   return -1;
 }
 
-// `text` with its percent encodings taken once; what is no encoding stays.
+// Decodes one layer of percent encoding; keeps invalid encodings as they are.
 std::string decoded(std::string_view text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -39,7 +39,7 @@
 }
 
 bool resolves_under_first_segment(std::string_view path) {
-  // Nothing that any reading could resolve: nearly all requests end here.
+  // Fast path: without these characters all parsers agree.
   if (path.find_first_of("%\\") == std::string_view::npos && path.find("/.") == std::string_view::npos)
     return true;
   std::string plain(path);
@@ -49,7 +49,7 @@
     if (i == max_decodings) return false;
     plain = std::move(next);
   }
-  // A separator that not every reader takes for one moves the depth at which a dot segment is met.
+  // Parsers differ on these separators, and so on the depth of a dot segment.
   bool doubtful = plain.find('\\') != std::string::npos || plain.find("//") != std::string::npos ||
                   std::string_view(plain).substr(0, plain.find('?')).size() != plain.size();
   auto slashes = [](std::string_view t) { return std::count(t.begin(), t.end(), '/'); };
--- a/src/protocol/text.hpp
+++ b/src/protocol/text.hpp
@@ -1,5 +1,5 @@
-// Reading of short texts that the parsers of this folder share: tokens, numbers, lists of name=value. All
-// views that are returned point into the text that was given. Nothing here allocates or throws.
+// Parsing of short texts, shared by the parsers of this folder: tokens, numbers, lists of name=value.
+// Returned views point into the argument. Nothing here allocates or throws.
 #pragma once
 
 #include <charconv>
@@ -9,10 +9,10 @@
 
 namespace meadowgauge::protocol {
 
-// Whether two ASCII texts are equal without regard to case, as header names are compared.
+// Compares ASCII texts without regard to case, as for header names.
 [[nodiscard]] bool equals_ignoring_case(std::string_view a, std::string_view b);
 
-// Whether `text` is a token in the sense of RFC 9110, 5.6.2: what methods and header names are made of.
+// Whether `text` is a token of RFC 9110, 5.6.2, as methods and header names are.
 [[nodiscard]] bool is_token(std::string_view text);
 
 // `text` without the characters of `blanks` at both ends.
@@ -29,10 +29,10 @@
   std::string_view name, value;
 };
 
-// `item` cut at its first equals sign; absent where it has none.
+// Splits `item` at its first equals sign; absent if there is none.
 [[nodiscard]] std::optional<NamedValue> named_value(std::string_view item);
 
-// The number that the whole of `text` writes in the given base; absent where it is none or out of T's range.
+// Parses all of `text` as a number in `base`; absent if it is not a number or out of T's range.
 template <class T>
 [[nodiscard]] std::optional<T> parse_number(std::string_view text, int base) {
   T value{};
@@ -42,7 +42,7 @@
   return value;
 }
 
-// The same of a decimal number, floating point included.
+// Parses a decimal number, integer or floating point.
 template <class T>
 [[nodiscard]] std::optional<T> parse_number(std::string_view text) {
   T value{};
--- a/src/protocol/watch_reader.cpp
+++ b/src/protocol/watch_reader.cpp
@@ -7,7 +7,7 @@
 
 bool is_blank(std::string_view line) { return line.find_first_not_of(" \t") == std::string_view::npos; }
 
-// The inner lines of a list may begin like one.
+// Parses the line, because an inner line of a list may begin with a brace too.
 bool is_endpoint_list(std::string_view line) {
   if (line.front() != '{') return false;
   auto value = Json::parse(line, nullptr);
@@ -32,7 +32,7 @@
   return events;
 }
 
-// A list has ended with its brackets. One that is cut short shows by a blank line or by the next list.
+// Brackets end a list. A blank line or the start of the next list shows that a list is truncated.
 void WatchReader::line_ended(std::string_view line, std::vector<WatchEvent>& events) {
   bool blank = is_blank(line);
   if (!partial_list_.empty() && (blank || is_endpoint_list(line))) {
--- a/src/protocol/watch_reader.hpp
+++ b/src/protocol/watch_reader.hpp
@@ -1,4 +1,4 @@
-// Turns the body of a watch on discovery into typed events. A list is one line, or several that are indented.
+// Parses the body of a discovery watch into typed events. A list is one line, or several indented lines.
 #pragma once
 
 #include <string>
@@ -10,11 +10,11 @@
 
 namespace meadowgauge::protocol {
 
-// Any line has ended: discovery is alive.
+// A line is complete: discovery is alive.
 struct WatchLineReceived {};
-// A list that stands on several lines has not ended yet.
+// The list continues on the next line.
 struct EndpointListIncomplete {};
-// Something that can't be read as an endpoint list, and may have told anything.
+// Text that is not an endpoint list. Changes may have been lost with it.
 struct UnreadableEndpointList {
   std::string reason;
 };
@@ -25,7 +25,7 @@
 // Reads one complete list from JSON text.
 std::variant<EndpointList, UnreadableEndpointList> parse_endpoint_list(std::string_view text);
 
-// One for each watch; deterministic. Memory is bounded by the longest line and the longest list.
+// One per watch. Memory is bounded by `max_line_bytes` and `max_list_bytes`.
 class WatchReader {
  public:
   static constexpr std::size_t max_list_bytes = LineReader::max_line_bytes;
@@ -37,8 +37,8 @@
   void line_ended(std::string_view line, std::vector<WatchEvent>& events);
 
   LineReader lines_;
-  std::string partial_list_;  // its lines so far
-  JsonNesting nesting_;       // of the partial list
+  std::string partial_list_;  // the lines received so far
+  JsonNesting nesting_;       // of partial_list_
 };
 
 }  // namespace meadowgauge::protocol
--- a/tests/protocol/endpoint_list_test.cpp
+++ b/tests/protocol/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists, and the lines of a watch that they come in.
+// Endpoint lists, and the lines of a watch.
 #include "protocol/endpoint_list.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/protocol/http_parser_test.cpp
+++ b/tests/protocol/http_parser_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP parser: bytes in, messages out, cut wherever the network cuts them.
+// The HTTP parser, with its input split at any byte.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -13,7 +13,7 @@
 
 using transport::Pool;
 
-// What a message came to, as one text.
+// Renders a parsed message as one text.
 std::string described(const Message& m) {
   if (m.fault() != Fault::none) return "fault " + std::to_string(static_cast<int>(m.fault()));
   if (!m.complete()) return "not whole";
@@ -126,7 +126,7 @@
 
 TEST(HttpParser, TakesArbitraryBytesWithoutHarm) {
   bool ok = rc::check([] {
-    // Mostly pieces of sense, so that the deeper states are reached.
+    // Mostly valid pieces, so that the parser reaches its later states.
     auto piece = rc::gen::element<std::string>("GET / HTTP/1.1\r\n", "HTTP/1.1 200 OK\r\n", "Host: b\r\n",
                                                "\r\n", "Content-Length: 3\r\n",
                                                "Transfer-Encoding: chunked\r\n", "abc", "3\r\n", "0\r\n",
@@ -147,8 +147,8 @@
   EXPECT_EQ(m.fault(), Fault::out_of_buffers);
 }
 
-// What has a fault never counts as a whole message, wherever in the framing the fault lies.
-TEST(HttpParser, AFaultyMessageIsNotWhole) {
+// A message with a fault is never complete, wherever in the framing the fault is.
+TEST(HttpParser, FaultyMessageIsNotComplete) {
   for (std::string text : {"GET / HTTP/1.1\r\nHost: b\r\nHost: c\r\n\r\n", "GET / HTTP/1.1\r\n\r\n",
                            "GET / HTTP/1.1\r\nHost: b\r\nContent-Length: x\r\n\r\n",
                            "GET / HTTP/1.1\r\nHost: b\r\nTransfer-Encoding: x\r\n\r\n"}) {
--- a/tests/protocol/http_writer_test.cpp
+++ b/tests/protocol/http_writer_test.cpp
@@ -1,4 +1,4 @@
-// What is forwarded of a message, and how.
+// How messages are forwarded.
 #include "protocol/http_writer.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/protocol/request_hints_test.cpp
+++ b/tests/protocol/request_hints_test.cpp
@@ -1,4 +1,4 @@
-// What requests and servers say of themselves: call info, load reports, the path of a target.
+// Parsers of request hints, load reports and target paths.
 #include "protocol/request_hints.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/protocol/watch_reader_test.cpp
+++ b/tests/protocol/watch_reader_test.cpp
@@ -1,4 +1,4 @@
-// The body of a watch as typed events, without sockets: lists on one line and on several, cut short or
+// The body of a watch as typed events, without sockets: lists on one and several lines, truncated,
 // unreadable.
 #include "protocol/watch_reader.hpp"
 
@@ -9,7 +9,7 @@
 namespace meadowgauge::protocol {
 namespace {
 
-// One letter for each event: l a line, i an incomplete list, L a list, u what can't be read.
+// One letter per event: l line, i incomplete list, L list, u unreadable text.
 std::string kinds(const std::vector<WatchEvent>& events) {
   std::string letters;
   for (const auto& event : events) letters += "liLu"[event.index()];
@@ -31,7 +31,7 @@
   EXPECT_EQ(kinds(reader.feed(" \"whole\": true, \"hosts\": []\n}\n")), "lilL");
 }
 
-TEST(WatchReader, AListThatIsCutShortIsUnreadableAndTheNextOneIsRead) {
+TEST(WatchReader, TruncatedListIsUnreadableAndTheNextIsRead) {
   const std::string next = R"({"seq":8,"whole":true,"hosts":[]})"
                            "\n";
   WatchReader reader;
