--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -200,7 +200,7 @@
 void Balancer::limit_to_share(double part) {
   auto of = [part](std::size_t all) { return static_cast<std::size_t>(part * static_cast<double>(all)); };
   auto budget = divide_descriptors(of(descriptors_));
-  pool_.allow(of(buffers_));
+  pool_.set_max_buffers(of(buffers_));
   upstreams_.set_max_connections(budget.upstream);
   downstream_.set_limits({.max_served = budget.downstream, .max_overflow = budget.downstream_overflow});
 }
--- a/src/transport/address.hpp
+++ b/src/transport/address.hpp
@@ -1,5 +1,4 @@
-// Where to listen or to dial: an IPv4 or bracketed IPv6 address with a port. Values; names are never
-// resolved.
+// An address to listen on or to dial: IPv4 or bracketed IPv6, with a port. Never resolves names.
 #pragma once
 
 #include <netinet/in.h>
@@ -13,20 +12,20 @@
 
 class Address {
  public:
-  // What a text that parse() reads is called in messages.
+  // The format, for error messages.
   static constexpr std::string_view description = "address with a port";
-  // Reads "1.2.3.4:80" or "[::1]:80"; absent where `text` is neither.
+  // Parses "1.2.3.4:80" or "[::1]:80"; absent if `text` is neither.
   static std::optional<Address> parse(std::string_view text);
-  // Where the bound socket `fd` is: the system picks a port where 0 was asked for.
+  // The local address of the bound socket `fd`, with the port that the system chose for port 0.
   static Address of(int fd);
-  // As a socket call gave it; its text has one form, whatever a file wrote.
+  // From the result of a socket call, with the text in canonical form.
   static Address seen(const sockaddr_storage& at, socklen_t size);
-  // For system calls; valid as long as this address.
+  // For system calls; valid for the lifetime of this object.
   [[nodiscard]] const sockaddr* raw() const { return reinterpret_cast<const sockaddr*>(&at_); }
   [[nodiscard]] socklen_t size() const { return size_; }
   // AF_INET or AF_INET6.
   [[nodiscard]] int family() const { return at_.ss_family; }
-  // As it was given to parse(), or as the system writes it.
+  // The text given to parse(), or the canonical form.
   [[nodiscard]] const std::string& text() const { return text_; }
   bool operator==(const Address& o) const { return text_ == o.text_; }
 
--- a/src/transport/clock.hpp
+++ b/src/transport/clock.hpp
@@ -1,11 +1,11 @@
-// One time base: milliseconds of Unix time, carried on by the steady clock so that it never jumps.
+// Milliseconds of Unix time, advanced by the steady clock so that the time never jumps.
 #pragma once
 
 #include <chrono>
 
 namespace meadowgauge::transport {
 
-// Read once a turn of the loop. Copies agree with each other.
+// Read once per loop turn. Copies show the same time.
 class Clock {
  public:
   Clock() : offset_(ms(std::chrono::system_clock::now()) - ms(std::chrono::steady_clock::now())) {}
--- a/src/transport/fd.hpp
+++ b/src/transport/fd.hpp
@@ -7,7 +7,7 @@
 
 namespace meadowgauge::transport {
 
-// Closes its descriptor when it ends. Moved from, it is empty.
+// Closes the descriptor on destruction. Empty after a move.
 class Fd {
  public:
   Fd() = default;
@@ -24,11 +24,11 @@
   }
   ~Fd() { close(); }
 
-  // Does nothing where it is empty.
+  // No effect if empty.
   void close() {
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
-  // -1 where it is empty; it stays this object's.
+  // The descriptor, still owned by this object; -1 if empty.
   [[nodiscard]] int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
 
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -39,7 +39,7 @@
   while (fd_) {
     Fd fd(accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (fd) return fd;
-    if (errno == EINTR || errno == ECONNABORTED || errno == EPROTO) continue;  // that one is gone; the next
+    if (errno == EINTR || errno == ECONNABORTED || errno == EPROTO) continue;  // the client has gone
     full = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
     break;
   }
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -1,4 +1,4 @@
-// A listening socket for TCP.
+// A listening TCP socket.
 #pragma once
 
 #include "transport/address.hpp"
@@ -10,28 +10,27 @@
 class Listener {
  public:
   struct How {
-    bool first = false;   // its owner is notified before others of a batch
-    bool shared = false;  // other processes may listen there too
-    bool later = false;   // bound, and listening only from listen() on
+    bool first = false;   // notify the owner before others of a batch
+    bool shared = false;  // SO_REUSEPORT: other processes may listen on the address
+    bool later = false;   // bind only, until listen()
   };
-  // Loop and owner must outlive the listener. Throws std::system_error naming the address where it can't
-  // listen.
+  // `loop` and `owner` outlive the listener. Throws std::system_error with the address if it can't listen.
   Listener(Loop& loop, const Address& at, Ready& owner) : Listener(loop, at, owner, How()) {}
   Listener(Loop& loop, const Address& at, Ready& owner, How how);
   ~Listener() { close(); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // Of one that was bound only (`later`); throws as the constructor.
+  // After `How::later`. Throws as the constructor does.
   void listen();
-  // Whether connections are taken: not before listen(), not after close().
+  // Whether the socket accepts connections: after listen(), before close().
   [[nodiscard]] bool listening() const { return token_ != 0 && fd_; }
-  // Of several that share the address, new connections go to the one that began to listen as the `nth` of
-  // those still there. False: the system won't, and deals them out.
+  // Directs new connections to the `nth` (from 0) listener of the shared address, in the order in which the
+  // open listeners began to listen. False: refused by the system, which distributes connections then.
   bool take_new_connections(std::uint32_t nth);
-  // The next connection; an empty one when none waits or no descriptor is left (`full` says which).
+  // The next connection; empty if none waits, or if descriptors or memory ran out (`full`).
   Fd accept(bool& full);
-  // Connections that wait to be accepted are reset by the system.
+  // The system resets connections that were not accepted.
   void close();
   [[nodiscard]] Address address() const { return Address::of(fd_.get()); }
   [[nodiscard]] bool open() const { return static_cast<bool>(fd_); }
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -8,7 +8,7 @@
 namespace meadowgauge::transport {
 namespace {
 
-constexpr double max_wait_ms = 60000;
+constexpr double wait_limit_ms = 60000;
 
 }  // namespace
 
@@ -40,7 +40,7 @@
   epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
   slots_[slot].handler = nullptr;
   first_slots_ -= slots_[slot].first ? 1 : 0;
-  ++slots_[slot].generation;  // events still in this batch are stale from here on
+  ++slots_[slot].generation;  // makes events left in this batch stale
   free_.push_back(slot);
 }
 
@@ -51,10 +51,10 @@
   repeated_.push_back(e);
 }
 
-void Loop::wait(double most_ms) {
-  int ms = !repeated_.empty() ? 0 : static_cast<int>(std::ceil(std::clamp(most_ms, 0.0, max_wait_ms)));
+void Loop::wait(double max_wait_ms) {
+  int ms = !repeated_.empty() ? 0 : static_cast<int>(std::ceil(std::clamp(max_wait_ms, 0.0, wait_limit_ms)));
   count_ = epoll_wait(epoll_.get(), events_.data(), max_events, ms);
-  // Stopped and let go on: what has happened meanwhile comes before the time that has passed.
+  // Interrupted, for example by SIGSTOP and SIGCONT: pending events come before due times.
   if (count_ < 0 && errno == EINTR) count_ = epoll_wait(epoll_.get(), events_.data(), max_events, 0);
   if (count_ < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
 }
--- a/src/transport/pool.cpp
+++ b/src/transport/pool.cpp
@@ -25,7 +25,7 @@
 }
 
 Buffer Pool::take() {
-  if (out_ >= most_) return {};
+  if (out_ >= max_buffers_) return {};
   ++out_;
   if (spare_.empty()) return {this, std::make_unique_for_overwrite<Buffer::Block>()};
   Buffer b{this, std::move(spare_.back())};
--- a/src/transport/pool.hpp
+++ b/src/transport/pool.hpp
@@ -1,4 +1,4 @@
-// Buffers of one size, used again from a pool, and byte queues made of them.
+// A pool of buffers of one size, and byte queues made of them.
 #pragma once
 
 #include <algorithm>
@@ -11,12 +11,12 @@
 
 namespace meadowgauge::transport {
 
-// Bytes.
+// In bytes.
 inline constexpr std::size_t buffer_size = std::size_t{16} * 1024;
 
 class Pool;
 
-// A buffer on loan; its end is the one place where it goes back.
+// A buffer borrowed from a Pool; the destructor returns it.
 class Buffer {
  public:
   using Block = std::array<char, buffer_size>;
@@ -27,7 +27,7 @@
   Buffer(Buffer&& o) noexcept;
   Buffer& operator=(Buffer&& o) noexcept;
   ~Buffer();
-  // `buffer_size` bytes, not initialized; null where the buffer is empty.
+  // `buffer_size` uninitialized bytes; null if empty.
   [[nodiscard]] char* data() const { return bytes_ ? bytes_->data() : nullptr; }
   explicit operator bool() const { return bytes_ != nullptr; }
 
@@ -39,47 +39,47 @@
   std::unique_ptr<Block> bytes_;
 };
 
-// Lends buffers, `most` at a time. Outlives all that it lends.
+// Lends up to `max_buffers` buffers at a time. Outlives its buffers.
 class Pool {
  public:
-  explicit Pool(std::size_t most) : most_(most) {}
+  explicit Pool(std::size_t max_buffers) : max_buffers_(max_buffers) {}
   Pool(const Pool&) = delete;
   Pool& operator=(const Pool&) = delete;
   ~Pool() = default;
-  // An empty one when `most` are out.
+  // Empty if `max_buffers` are on loan.
   Buffer take();
-  // Gives back to the system half of what lies idle beyond a few. Called now and then.
+  // Frees half of the idle buffers above a small reserve. Called periodically.
   void trim();
-  // So many at most from now on; what is out beyond that comes back by itself.
-  void allow(std::size_t most) { most_ = most; }
-  // Buffers on loan, and those that lie idle.
+  // Changes the limit. Buffers on loan above the limit stay valid.
+  void set_max_buffers(std::size_t max_buffers) { max_buffers_ = max_buffers; }
+  // Buffers on loan, and idle buffers.
   [[nodiscard]] std::size_t out() const { return out_; }
   [[nodiscard]] std::size_t spare() const { return spare_.size(); }
 
  private:
   friend class Buffer;
-  std::size_t most_;
+  std::size_t max_buffers_;
   std::size_t out_ = 0;
   std::vector<std::unique_ptr<Buffer::Block>> spare_;
 };
 
-// A queue of bytes in buffers of the pool, which must outlive it.
+// A queue of bytes in buffers of the pool, which outlives the queue.
 class Chain {
  public:
   explicit Chain(Pool& pool) : pool_(&pool) {}
 
-  // False: the pool is out; nothing of `bytes` was added.
+  // False: the pool has no buffers; no byte was added.
   [[nodiscard]] bool append(std::string_view bytes);
-  // Drops the first `n` bytes, or all where there are fewer; their buffers go back to the pool.
+  // Drops the first `n` bytes, or all if there are fewer. Returns their buffers to the pool.
   void consume(std::size_t n);
   // Drops all bytes.
   void clear() { consume(size_); }
-  // Forgets all after the first `n`.
+  // Drops all bytes after the first `n`.
   void drop_after(std::size_t n);
   [[nodiscard]] std::size_t size() const { return size_; }
-  // The first bytes that lie together.
+  // The first contiguous bytes.
   [[nodiscard]] std::string_view front() const;
-  // The bytes from `from` on, piece by piece.
+  // Calls f(std::string_view) for each contiguous piece from offset `from` on.
   template <class F>
   void each(std::size_t from, F&& f) const {
     std::size_t at = start_;
@@ -97,7 +97,7 @@
  private:
   Pool* pool_;
   std::vector<Buffer> buffers_;
-  std::size_t start_ = 0;  // of the first buffer
+  std::size_t start_ = 0;  // offset in the first buffer
   std::size_t size_ = 0;
 };
 
--- a/src/transport/stream.cpp
+++ b/src/transport/stream.cpp
@@ -41,7 +41,7 @@
   if (from_ == to_) from_ = to_ = 0;
   if (to_ == buffer_size) return Got::nothing;
   if (!in_ && !(in_ = pool_->take())) {
-    again(EPOLLIN);  // the bytes stay with the system until a buffer is back
+    again(EPOLLIN);  // the bytes stay in the socket until the pool has a buffer
     return Got::nothing;
   }
   for (;;) {
--- a/src/transport/stream.hpp
+++ b/src/transport/stream.hpp
@@ -1,4 +1,4 @@
-// A TCP connection that never blocks: one buffer of bytes in, a queue of bytes out.
+// A non-blocking TCP connection with one input buffer and an output queue.
 #pragma once
 
 #include "transport/address.hpp"
@@ -7,48 +7,47 @@
 
 namespace meadowgauge::transport {
 
-// Reads and writes until EAGAIN, as edge-triggered events ask for. Loop, pool and owner must outlive it.
+// Reads and writes until EAGAIN, as edge-triggered events require. Loop, pool and owner outlive the stream.
 class Stream {
  public:
   enum class Got : std::uint8_t { bytes, nothing, end, broken };
 
-  // An accepted connection, or one that is being dialled.
-  // `first`: its owner is notified before others of a batch. Throws std::system_error where epoll does not
-  // take the descriptor.
+  // `fd`: an accepted connection or a dial in progress. `first`: notify the owner before others of a batch.
+  // Throws std::system_error if epoll refuses the descriptor.
   Stream(Loop& loop, Pool& pool, Fd fd, Ready& owner, bool first = false);
   ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  // A socket on its way to `to`; an empty one with errno where that fails at once.
+  // Starts to connect to `to`. Empty, with errno set, if that fails at once.
   static Fd dial(const Address& to);
-  // How a dial ended, once it is writable: 0 or an error.
+  // The result of a dial, once the socket is writable: 0 or an errno value.
   [[nodiscard]] int dial_error() const;
 
-  // Reads once into the buffer; `nothing` means EAGAIN, a full buffer, or none to be had just now: then the
-  // owner is notified again. Call until it says so.
+  // Reads once into the buffer. `nothing`: EAGAIN, a full buffer, or no buffer in the pool (the owner is
+  // notified again). Call until `nothing`.
   Got fill();
-  // What has come and was not consumed; valid until the next fill(), consume() or close().
+  // The received bytes that are not consumed; valid until the next fill(), consume() or close().
   [[nodiscard]] std::string_view bytes() const;
-  // Drops the first `n` bytes, of those that bytes() shows.
+  // Drops the first `n` of bytes().
   void consume(std::size_t n);
-  // True while nothing has come in and the other side has not ended.
+  // Whether the connection is open with no unread input. Asks the socket.
   [[nodiscard]] bool quiet() const;
 
-  // What is to be sent by flush().
+  // The output queue of flush().
   [[nodiscard]] Chain& out() { return out_; }
   // Writes until EAGAIN. False: the connection broke.
   bool flush();
-  // Whether the system has taken all that was to be sent.
+  // Whether the output queue is empty.
   [[nodiscard]] bool flushed() const { return out_.size() == 0; }
-  // Half-closes: the other side reads the end, and may still send.
+  // Half-closes; the peer may still send.
   void end_sending();
 
   // As Loop::again().
   void again(std::uint32_t events) { loop_->again(token_, events); }
   [[nodiscard]] bool open() const { return static_cast<bool>(fd_); }
   void close();
-  // Ends with a reset in place of an orderly end.
+  // Closes with a TCP reset.
   void reset();
 
  private:
@@ -57,7 +56,8 @@
   Fd fd_;
   std::uint64_t token_;
   Buffer in_;
-  std::size_t from_ = 0, to_ = 0;
+  std::size_t from_ = 0;  // offsets of bytes() in in_
+  std::size_t to_ = 0;
   Chain out_;
 };
 
--- a/tests/proxy/upstream/idempotency_judge.hpp
+++ b/tests/proxy/upstream/idempotency_judge.hpp
@@ -1,5 +1,4 @@
-// What judges days of idempotency keys: stand-in servers on loopback, and their records of what ran. Time is
-// in the test's hand.
+// Stand-in servers on loopback, and the judge of their records of executed requests. The test sets the clock.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,13 +18,13 @@
 
 constexpr double answer_slack_ms = 20;
 
-// How servers treat requests, and of new connections those that are closed unread.
+// How servers treat requests, and which new connections they close unread.
 constexpr double rejection_share = 0.07, error_share = 0.05, reset_share = 0.1, silent_share = 0.04,
                  slow_share = 0.05, unread_share = 0.03;
 
 using RequestId = std::uint64_t;
 
-// SplitMix64: the same on every machine.
+// SplitMix64, the same on every machine.
 class Chance {
  public:
   explicit Chance(std::uint64_t seed) : state_(seed) {}
@@ -43,14 +42,14 @@
   std::uint64_t state_;
 };
 
-// What a day's servers and clients saw of one request; judged as it is written down.
+// What the servers and the client of a day saw of one request; judged at each entry.
 struct Seen {
   int request_class = 0;  // as in world.hpp: idempotent, mutating, with keys known to all, a zone, a cell
   double due_ms = 0, key_ttl_ms = 0;
   int runs = 0, finals = 0;
-  double first_run_ms = 0;   // when the first byte of the first run came
+  double first_run_ms = 0;   // when the first byte of the first run was received
   int zone = 0, cell = 0;    // of the first run
-  double sent_away_ms = -1;  // when a rejected client may come again; -1: it was not rejected
+  double sent_away_ms = -1;  // when a rejected client may retry; -1: not rejected
 };
 
 class Judge {
@@ -92,7 +91,7 @@
   }
 
  private:
-  // It has run, and its client is told that it may come again.
+  // The request was executed, and the client received a rejection.
   void rejected(RequestId job) {
     auto& seen = requests.at(job);
     if (seen.request_class == 0) return;
@@ -102,17 +101,17 @@
   }
 };
 
-// A server: takes what comes, writes down what ran, and answers, resets or falls silent.
+// A server: receives requests, records executions, and responds, resets or stays silent.
 class StandIn final : transport::Ready {
  public:
   StandIn(transport::Loop& loop, Judge& judge, Chance& chance)
       : door_(loop, *transport::Address::parse("127.0.0.1:0"), *this), judge_(judge), chance_(chance) {}
   [[nodiscard]] std::string address() const { return door_.address().text(); }
-  // Whether an attempt of the request is out here on an open connection.
+  // Whether an attempt of the request is in flight here on an open connection.
   [[nodiscard]] bool works_on(RequestId job) const {
     return std::ranges::any_of(connections_, [&](const Connection& c) { return !c.over && c.job == job; });
   }
-  // Takes all that has come by now.
+  // Receives all pending bytes.
   void receive(double now_ms) {
     for (bool full = false; auto fd = door_.accept(full);) {
       if (chance_.of(unread_share)) continue;
@@ -128,8 +127,8 @@
         c.held.append(bytes, static_cast<std::size_t>(n));
       }
   }
-  // Starts on what is whole, in the zone and cell where it stands; `second_copy` says of a request whether
-  // another attempt of it is out.
+  // Starts to execute complete requests, in the server's zone and cell. `second_copy`: whether another
+  // attempt of the request is in flight.
   template <class SecondCopy>
   void work(int zone, int cell, double now_ms, SecondCopy&& second_copy) {
     for (auto& c : connections_) {
@@ -144,8 +143,8 @@
     transport::Fd fd;
     std::string held = {};
     double first_byte_ms = 0;
-    bool over = false;  // ended by one of the two
-    RequestId job = 0;  // 0: it works on none
+    bool over = false;  // closed by either side
+    RequestId job = 0;  // 0: no request
     double answer_at_ms = never;
     std::string answer = {};  // empty: a reset
   };
@@ -171,7 +170,7 @@
     auto drawn = [&draw](double share) { return (draw -= share) < 0; };
     if (drawn(rejection_share)) {
       c.answer = "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
-      return;  // it never runs
+      return;  // never executed
     }
     if (drawn(error_share))
       c.answer = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
--- a/tests/proxy/upstream/idempotency_random_test.cpp
+++ b/tests/proxy/upstream/idempotency_random_test.cpp
@@ -1,7 +1,6 @@
-// No effect twice, over random days: the policy, the table of requests and the upstream connections against
-// stand-in servers on loopback, which keep their own records and judge by them alone. Time is in the test's
-// hand: a turn in which the loop is not served is one in which dials and answers have not come yet. Seeds are
-// fixed.
+// No request executes twice, over random days: the policy, the request table and the upstream connections
+// against stand-in servers on loopback, which judge by their own records. The test sets the clock: in a turn
+// without loop events, dials and responses are still pending. Seeds are fixed.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -23,7 +22,7 @@
 constexpr int turns = 400, last_turns = 300;
 constexpr double max_body_ms = 3600000;
 
-// What of the program is left out, for tests of the judge.
+// Parts of the program that are disabled, for tests of the judge.
 enum class Fault : std::uint8_t { none, keeps_no_window, keeps_no_group, sends_away_for_long };
 
 class IdempotencyDay final : proxy::RequestActions {
@@ -32,7 +31,7 @@
       : chance_(seed * 7919 + 3),
         fault_(fault),
         copies_(seed % 2 == 0),
-        // 100 ms to 30 s, the short ones as often as the long.
+        // 100 ms to 30 s, log-uniform.
         key_ttl_ms_(100 * std::pow(300, chance_.uniform())),
         policy_(settings(), seed, now_ms_) {
     for (int i = 0; i < server_count; ++i) {
@@ -47,7 +46,7 @@
 
   void run() {
     for (int turn = 0; turn < turns && judge.breach.empty(); ++turn) {
-      // A turn of the loop may last long; what falls due within it is late by that much.
+      // A loop turn may take long; due times within it are reached late.
       turn_ms_ = chance_.of(0.02) ? chance_.between(50, 400) : chance_.between(1, 15);
       now_ms_ += turn_ms_;
       if (chance_.of(0.02)) silent_until_ = now_ms_ + chance_.between(50, 1500);
@@ -70,7 +69,7 @@
  private:
   struct InFlight {
     std::shared_ptr<protocol::Message> message;
-    std::string rest = {};  // of its body, which is still to come
+    std::string rest = {};  // the rest of its body, not received yet
     double budget_ms = 0;
   };
 
@@ -81,7 +80,7 @@
     return s;
   }
 
-  // As the balancer's: what the sockets tell, then outcomes, then what falls due.
+  // In the balancer's order: socket events, then outcomes, then due times.
   void take_turn(bool served) {
     if (served) {
       loop_.wait(0);
@@ -97,7 +96,7 @@
     upstreams_.destroy_closed();
   }
 
-  // All that has been written by now reaches the servers as they stand now.
+  // Delivers all written bytes to the servers in their present state.
   void servers_work() {
     for (auto& server : servers_) server->receive(now_ms_);
     for (std::size_t i = 0; i < servers_.size(); ++i)
@@ -141,7 +140,7 @@
     requests_.request_arrived(proxy::RequestNumber{job}, request, now_ms_);
   }
 
-  // The rest of some bodies comes.
+  // Receives the rest of some bodies.
   void bodies_go_on() {
     for (auto& [job, held] : in_flight_) {
       if (held.rest.empty() || !chance_.of(0.1)) continue;
@@ -218,7 +217,7 @@
   void released(proxy::RequestNumber request) override { in_flight_.erase(to_integer(request)); }
 
   double now_ms_ = 100000, tick_at_ms_ = now_ms_, turn_ms_ = 0;
-  double silent_until_ = 0;  // until then nothing comes from the sockets
+  double silent_until_ = 0;  // no socket events before
   Chance chance_;
   Fault fault_;
   bool copies_;
@@ -249,7 +248,7 @@
     rejected_after_run += day.judge.rejected_after_run;
     withdrawn += day.withdrawn;
   }
-  // The days hold what they are to judge.
+  // The days contain every case that is judged.
   EXPECT_GT(repeated_runs, 100);
   EXPECT_GT(rejected_after_run, 10);
   EXPECT_GT(withdrawn, 10);
--- a/tests/proxy/upstream/upstream_parts_test.cpp
+++ b/tests/proxy/upstream/upstream_parts_test.cpp
@@ -1,5 +1,5 @@
-// Connections to endpoints, part by part: indices and addresses, how long a connection may lie idle, until
-// when an attempt may go on; and the states that a connection and an attempt go through, on sockets.
+// Parts of the upstream connections: endpoint indices and addresses, the idle timeout, attempt timeouts; and
+// the states of connections and attempts, on sockets.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -19,7 +19,7 @@
 constexpr auto address = "127.0.0.1:1000";
 constexpr auto other_address = "127.0.0.1:2000";
 
-// One listed server.
+// One listed endpoint.
 struct OneServer {
   EndpointSlots slots;
   EndpointIndex endpoint = slots.add("a");
@@ -106,7 +106,7 @@
   EXPECT_EQ(estimator.usable_ms(0), usable_ms);
 }
 
-// A health check, which needs no message; its deadlines are those of any attempt.
+// A health check, which needs no message. Its timeouts are those of any attempt.
 UpstreamAttempt attempt_until(double connect_by_ms, double send_by_ms, double limit_at_ms) {
   return {EndpointIndex{0},
           UpstreamRequest::health_check("/load"),
@@ -150,8 +150,7 @@
   EXPECT_EQ(attempt.stall_at_ms(1300, false), 11300) << "larger than what is held at a time";
 }
 
-// One endpoint, played by the test; time stands still but for its hand. Invariants are checked after each
-// batch.
+// One endpoint, played by the test, which also sets the clock. Checks the invariants after each batch.
 struct OneEndpoint : transport::Ready {
   transport::Loop loop;
   transport::Pool buffers{64};
@@ -191,7 +190,7 @@
     turns();
     return true;
   }
-  // Whether a request has come on the connection accepted last.
+  // Whether a request was received on the connection accepted last.
   bool request_came() const {
     char bytes[4096];
     return recv(connection.get(), bytes, sizeof bytes, MSG_DONTWAIT) > 0;
--- a/tests/proxy/upstream/upstreams_test.cpp
+++ b/tests/proxy/upstream/upstreams_test.cpp
@@ -1,5 +1,5 @@
-// The upstream connection pool by itself: its endpoint indices, and attempts over connections to a server
-// that the test plays on an event loop of its own.
+// Upstreams alone: endpoint indices, and attempts over connections to a server that the test plays on its own
+// event loop.
 #include "proxy/upstream/upstreams.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 
 using protocol::Message;
 
-// With ever new names nothing grows, and an index is reused only once nothing of its server is left.
+// New names don't grow the table, and an index is reused only when its former endpoint has no state left.
 TEST(Upstreams, ReuseAnIndexOnceNothingIsLeftOfItsServer) {
   transport::Loop loop;
   transport::Pool pool(4);
@@ -45,7 +45,7 @@
   EXPECT_EQ(upstreams.endpoints().size(), 2u);
 }
 
-// One server, which the test plays, and attempts of one request there. The test moves the clock.
+// One server, played by the test, and attempts of one request there. The test sets the clock.
 struct UpstreamsFixture : transport::Ready {
   transport::Loop loop;
   transport::Pool pool{64};
@@ -75,7 +75,7 @@
     for (auto& e : std::exchange(upstreams.events(), {})) outcomes.push_back(e.outcome);
     return outcomes;
   }
-  // What the server receives over its next connection; nothing where there is none.
+  // The bytes that the server receives on its next connection; empty if there is none.
   std::string received_by_server() {
     run_loop();
     bool full = false;
@@ -90,11 +90,11 @@
 };
 using Outcomes = std::vector<Outcome>;
 
-// Withdrawn, cancelled, timed out, in any order: an attempt ends once, and what was never sent whole has not
-// executed.
+// An attempt that is abandoned, cancelled or timed out, in any order, completes once; an attempt that was not
+// sent to its last byte ends as not executed.
 TEST(Upstreams, AnAttemptEndsOnceWhateverEndsItTwice) {
   {
-    UpstreamsFixture fixture;  // it waits for its connection
+    UpstreamsFixture fixture;  // waits for a connection
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                             {.limit_ms = 500, .streaming_budget_ms = 500});
     fixture.upstreams.abandon_unsent(1);
@@ -107,7 +107,7 @@
     EXPECT_EQ(fixture.take_outcomes(), Outcomes{});
   }
   {
-    UpstreamsFixture fixture;  // it was sent whole: only a cancellation ends it
+    UpstreamsFixture fixture;  // sent to the last byte: only cancel() ends it
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                             {.limit_ms = 500, .streaming_budget_ms = 500});
     EXPECT_NE(fixture.received_by_server(), "");
@@ -118,7 +118,7 @@
     EXPECT_EQ(fixture.take_outcomes(), Outcomes{});
   }
   {
-    UpstreamsFixture fixture;  // it times out, and is cancelled in the same turn
+    UpstreamsFixture fixture;  // times out, and is cancelled in the same turn
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                             {.limit_ms = 500, .streaming_budget_ms = 500});
     EXPECT_NE(fixture.received_by_server(), "");
@@ -130,9 +130,8 @@
   }
 }
 
-// The connection is established and the time of the attempt is over in one turn: sent then, it would be
-// abandoned after its last byte, and a non-idempotent request that has not executed would count as one that
-// may have.
+// The connection is established in the turn in which the attempt times out. If it were sent then, it would be
+// abandoned after its last byte, and a non-idempotent request could not be retried.
 TEST(Upstreams, SendNothingOverAConnectionEstablishedTooLate) {
   UpstreamsFixture fixture;
   fixture.upstreams.start(1, EndpointIndex{0}, fixture.request, {.limit_ms = 50, .streaming_budget_ms = 50});
@@ -148,8 +147,8 @@
   EXPECT_GT(recv(fixture.connections.back().get(), bytes, sizeof bytes, MSG_DONTWAIT), 0);
 }
 
-// The body is complete and its time begins while the connection is still being established: the end of the
-// connect timeout, up to a second later, was the end of the wait.
+// The body is complete, and the attempt's limit starts, during the dial: the limit bounds the wait, not the
+// longer dial timeout.
 TEST(Upstreams, ALimitHoldsForWhatStillWaitsForItsConnection) {
   UpstreamsFixture fixture;
   auto arriving = std::make_shared<Message>(fixture.pool, Message::Kind::request, Message::Body::streaming);
@@ -163,7 +162,7 @@
   EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
 }
 
-// The window of the request's idempotency key ends while it waits for its connection: sent then, it would
+// The window of the idempotency key ends during the wait for a connection: sent then, the request could
 // execute twice.
 TEST(Upstreams, SendNoAttemptThatMissedItsLatestMoment) {
   for (bool at_once : {true, false}) {
@@ -171,7 +170,7 @@
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                             {.limit_ms = 500, .send_by_ms = 50, .streaming_budget_ms = 500});
     fixture.now_ms += 60;
-    if (at_once) {  // the connection is established in the turn in which the time is over
+    if (at_once) {  // connected in the turn in which the window ends
       EXPECT_EQ(fixture.received_by_server(), "");
       EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
     } else {
@@ -180,7 +179,7 @@
       EXPECT_EQ(fixture.received_by_server(), "");
     }
   }
-  UpstreamsFixture fixture;  // in time: its response may take until the timeout
+  UpstreamsFixture fixture;  // sent in time: the response may take until the limit
   fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                           {.limit_ms = 500, .send_by_ms = 50, .streaming_budget_ms = 500});
   EXPECT_NE(fixture.received_by_server(), "");
