--- a/src/proxy/upstream/connection_pool.cpp
+++ b/src/proxy/upstream/connection_pool.cpp
@@ -171,19 +171,21 @@
   return candidate != nullptr;
 }
 
-std::string ConnectionPool::broken_invariant() const {
+std::optional<BrokenUpstreamInvariant> ConnectionPool::broken_invariant() const {
   for (const auto& [id, connection] : connections_) {
-    if (connection->id() != id) return "a connection has another's id";
-    if (connection->state() == State::closed) return "a closed connection is still in the pool";
+    if (connection->id() != id)
+      return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::connection_keyed_by_id};
+    if (connection->state() == State::closed)
+      return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::closed_connection_removed};
     if ((connection->state() == State::in_flight) != (connection->attempt() != 0))
-      return "a connection has an attempt if and only if it is in flight";
+      return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::attempt_only_in_flight};
   }
   for (std::size_t i = 0; i < by_endpoint_.size(); ++i)
-    if (auto broken = broken_invariant(static_cast<EndpointIndex>(i)); !broken.empty()) return broken;
+    if (auto broken = broken_invariant(static_cast<EndpointIndex>(i))) return broken;
   return {};
 }
 
-std::string ConnectionPool::broken_invariant(EndpointIndex endpoint) const {
+std::optional<BrokenUpstreamInvariant> ConnectionPool::broken_invariant(EndpointIndex endpoint) const {
   int open = 0;
   int dialling = 0;
   std::size_t idle = 0;
@@ -194,16 +196,19 @@
     idle += connection->state() == State::idle ? 1 : 0;
   }
   const auto& counted = counters(endpoint);
-  if (open != counted.open) return "the connections to an endpoint are miscounted";
-  if (dialling != counted.dialling) return "the dials to an endpoint are miscounted";
-  if (idle != counted.idle.size()) return "an idle connection is not kept, or another one is";
+  if (open != counted.open)
+    return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::open_connections_counted};
+  if (dialling != counted.dialling)
+    return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::dials_counted};
+  if (idle != counted.idle.size())
+    return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::idle_connections_kept};
   double since_ms = 0;
   for (const auto& kept : counted.idle) {
     const auto* connection = find(kept.id);
     if (!connection || connection->state() != State::idle || connection->endpoint() != endpoint)
-      return "what is kept as idle is no idle connection to that endpoint";
+      return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::kept_connection_idle};
     if (connection->idle_since_ms() != kept.since_ms || kept.since_ms < since_ms)
-      return "idle connections are not in the order of their ages";
+      return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::idle_connections_ordered_by_age};
     since_ms = kept.since_ms;
   }
   return {};
--- a/src/proxy/upstream/connection_pool.hpp
+++ b/src/proxy/upstream/connection_pool.hpp
@@ -5,12 +5,14 @@
 #include <cstddef>
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
 #include "proxy/endpoint/slots.hpp"
 #include "proxy/logger.hpp"
+#include "proxy/upstream/broken_invariant.hpp"
 #include "proxy/upstream/connection.hpp"
 #include "proxy/upstream/idle_timeout_estimator.hpp"
 #include "transport/due_times.hpp"
@@ -96,8 +98,8 @@
   // Destroys the connections that were closed in this loop turn.
   void destroy_closed() { closed_.clear(); }
 
-  // The first broken invariant; empty if all hold. For tests, between loop turns.
-  [[nodiscard]] std::string broken_invariant() const;
+  // The first broken invariant; absent if all hold. For tests, between loop turns.
+  [[nodiscard]] std::optional<BrokenUpstreamInvariant> broken_invariant() const;
 
  private:
   struct IdleConnection {
@@ -119,7 +121,7 @@
   void set_due(UpstreamConnection& connection, double at_ms);
   // `error`: an errno value.
   void log_dial_failed(EndpointIndex endpoint, int error) const;
-  [[nodiscard]] std::string broken_invariant(EndpointIndex endpoint) const;
+  [[nodiscard]] std::optional<BrokenUpstreamInvariant> broken_invariant(EndpointIndex endpoint) const;
 
   transport::Loop& loop_;
   transport::Pool& buffers_;
--- a/src/proxy/upstream/upstreams.cpp
+++ b/src/proxy/upstream/upstreams.cpp
@@ -284,13 +284,16 @@
 
 // --- Invariants ------------------------------------------------------------------------------------------
 
-std::string Upstreams::broken_invariant() const {
-  if (auto broken = endpoints_.broken_invariant(); !broken.empty()) return broken;
-  if (auto broken = connections_.broken_invariant(); !broken.empty()) return broken;
+std::optional<BrokenUpstreamInvariant> Upstreams::broken_invariant() const {
+  if (auto broken = endpoints_.broken_invariant(); !broken.empty())
+    return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::endpoint_slots_consistent,
+                                   .detail = std::move(broken)};
+  if (auto broken = connections_.broken_invariant()) return broken;
   std::size_t awaiting = 0;
   for (const auto& [id, attempt] : attempts_) {
     bool paused = attempt.phase() == UpstreamAttempt::Phase::response_paused;
-    if ((attempt.due_ms() == DueTimes::none) != paused) return "an attempt can't end by time";
+    if ((attempt.due_ms() == DueTimes::none) != paused)
+      return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::attempt_due_unless_paused};
     if (attempt.awaits_connection()) {
       ++awaiting;
       continue;
@@ -298,7 +301,7 @@
     const auto* connection = connections_.find(attempt.connection());
     if (!connection || connection->state() != State::in_flight || connection->attempt() != id ||
         connection->endpoint() != attempt.endpoint())
-      return "an attempt's connection is not its own";
+      return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::attempt_owns_its_connection};
   }
   std::size_t queued = 0;
   for (std::size_t i = 0; i < waiting_.size(); ++i)
@@ -307,14 +310,16 @@
       auto entry = attempts_.find(id);
       if (entry == attempts_.end() || !entry->second.awaits_connection() ||
           entry->second.endpoint() != static_cast<EndpointIndex>(i))
-        return "what waits for a connection is no attempt that awaits one there";
+        return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::queued_attempt_awaits_connection};
     }
-  if (queued != awaiting) return "an attempt awaits a connection and is not in its endpoint's queue";
+  if (queued != awaiting)
+    return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::awaiting_attempt_queued};
   std::size_t in_flight = 0;
   connections_.each([&](const UpstreamConnection& connection) {
     in_flight += connection.state() == State::in_flight ? 1 : 0;
   });
-  if (in_flight + awaiting != attempts_.size()) return "a connection in flight has no attempt";
+  if (in_flight + awaiting != attempts_.size())
+    return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::connection_in_flight_has_attempt};
   return {};
 }
 
--- a/src/proxy/upstream/upstreams.hpp
+++ b/src/proxy/upstream/upstreams.hpp
@@ -5,6 +5,7 @@
 #include <cstdint>
 #include <deque>
 #include <functional>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <unordered_map>
@@ -15,6 +16,7 @@
 #include "proxy/logger.hpp"
 #include "proxy/request/shared_message.hpp"
 #include "proxy/upstream/attempt.hpp"
+#include "proxy/upstream/broken_invariant.hpp"
 #include "proxy/upstream/connection.hpp"
 #include "proxy/upstream/connection_pool.hpp"
 #include "transport/due_times.hpp"
@@ -98,8 +100,8 @@
   // Attempts of requests sent to the last byte, since the start; without health checks.
   [[nodiscard]] std::uint64_t requests_sent() const { return requests_sent_; }
 
-  // The first broken invariant; empty if all hold. For tests, between loop turns.
-  [[nodiscard]] std::string broken_invariant() const;
+  // The first broken invariant; absent if all hold. For tests, between loop turns.
+  [[nodiscard]] std::optional<BrokenUpstreamInvariant> broken_invariant() const;
 
  private:
   using Attempts = std::unordered_map<AttemptId, UpstreamAttempt>;
--- a/tests/proxy/upstream/upstream_parts_test.cpp
+++ b/tests/proxy/upstream/upstream_parts_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
+#include <optional>
 #include <string>
 #include <utility>
 #include <vector>
@@ -175,7 +176,7 @@
       loop.wait(1);
       loop.dispatch();
       upstreams.destroy_closed();
-      EXPECT_EQ(upstreams.broken_invariant(), "");
+      EXPECT_EQ(upstreams.broken_invariant(), std::nullopt);
     }
   }
   void start(AttemptId id) {
--- a/tests/proxy/upstream/upstreams_test.cpp
+++ b/tests/proxy/upstream/upstreams_test.cpp
@@ -7,6 +7,7 @@
 
 #include <cstdint>
 #include <memory>
+#include <optional>
 #include <string>
 #include <utility>
 #include <vector>
@@ -67,7 +68,7 @@
       loop.wait(1);
       loop.dispatch();
       upstreams.destroy_closed();
-      EXPECT_EQ(upstreams.broken_invariant(), "");
+      EXPECT_EQ(upstreams.broken_invariant(), std::nullopt);
     }
   }
   std::vector<Outcome> take_outcomes() {
