--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -13,7 +13,7 @@
   bool read(Json& into) {
     if (!value(into, 0)) return false;
     skip_space();
-    return at_ == text_.size() || fail("something after the value");
+    return at_ == text_.size() || fail(JsonFault::text_after_value);
   }
   [[nodiscard]] const JsonError& error() const { return error_; }
 
@@ -21,8 +21,8 @@
   // Levels of nesting; the bound protects the stack from hostile texts.
   static constexpr int max_depth = 64;
 
-  bool fail(const char* what) {
-    if (error_.what.empty()) error_ = {.what = what, .at_byte = at_};
+  bool fail(JsonFault fault) {
+    if (error_.fault == JsonFault::none) error_ = {.fault = fault, .at_byte = at_};
     return false;
   }
   void skip_space() {
@@ -36,15 +36,15 @@
     return true;
   }
   bool literal(std::string_view name) {
-    if (text_.substr(at_, name.size()) != name) return fail("not a value");
+    if (text_.substr(at_, name.size()) != name) return fail(JsonFault::not_a_value);
     at_ += name.size();
     return true;
   }
 
   bool value(Json& into, int depth) {
-    if (depth > max_depth) return fail("nested too deep");
+    if (depth > max_depth) return fail(JsonFault::nested_too_deep);
     skip_space();
-    if (at_ >= text_.size()) return fail("ends too early");
+    if (at_ >= text_.size()) return fail(JsonFault::truncated);
     switch (text_[at_]) {
       case '{':
         return object(into.value_.emplace<Json::Object>(), depth);
@@ -72,11 +72,11 @@
     do {
       skip_space();
       auto& [name, v] = into.emplace_back();
-      if (at_ >= text_.size() || text_[at_] != '"' || !string(name)) return fail("a name is missing");
-      if (!take(':')) return fail("a colon is missing");
+      if (at_ >= text_.size() || text_[at_] != '"' || !string(name)) return fail(JsonFault::missing_name);
+      if (!take(':')) return fail(JsonFault::missing_colon);
       if (!value(v, depth + 1)) return false;
     } while (take(','));
-    return take('}') || fail("an object does not end");
+    return take('}') || fail(JsonFault::unterminated_object);
   }
 
   bool list(Json::List& into, int depth) {
@@ -85,7 +85,7 @@
     do {
       if (!value(into.emplace_back(), depth + 1)) return false;
     } while (take(','));
-    return take(']') || fail("a list does not end");
+    return take(']') || fail(JsonFault::unterminated_list);
   }
 
   bool number(Json& into) {
@@ -95,7 +95,7 @@
     auto [end, bad] = std::from_chars(rest.data(), rest.data() + rest.size(), v);
     // from_chars also accepts inf and nan, which are not JSON.
     if (bad != std::errc{} || !std::isfinite(v) || (rest[0] != '-' && (rest[0] < '0' || rest[0] > '9')))
-      return fail("not a value");
+      return fail(JsonFault::not_a_value);
     at_ += static_cast<std::size_t>(end - rest.data());
     into.value_ = Json::Number{std::string(text_.substr(from, at_ - from))};
     return true;
@@ -104,7 +104,8 @@
   bool four_hex(std::uint32_t& code) {
     auto digits = text_.substr(at_, 4);
     auto [end, bad] = std::from_chars(digits.data(), digits.data() + digits.size(), code, 16);
-    if (digits.size() < 4 || bad != std::errc{} || end != digits.data() + 4) return fail("bad \\u escape");
+    if (digits.size() < 4 || bad != std::errc{} || end != digits.data() + 4)
+      return fail(JsonFault::invalid_unicode_escape);
     at_ += 4;
     return true;
   }
@@ -116,7 +117,7 @@
         ++at_;
         return true;
       }
-      if (static_cast<unsigned char>(c) < 32) return fail("control character in a string");
+      if (static_cast<unsigned char>(c) < 32) return fail(JsonFault::control_character);
       if (c != '\\') {
         into += c;
         continue;
@@ -139,10 +140,10 @@
         utf8(code, into);
         --at_;
       } else {
-        return fail("bad escape");
+        return fail(JsonFault::invalid_escape);
       }
     }
-    return fail("a string does not end");
+    return fail(JsonFault::unterminated_string);
   }
 
   static void utf8(std::uint32_t code, std::string& into) {
@@ -166,8 +167,44 @@
   JsonError error_;
 };
 
+namespace {
+
+std::string_view text_of(JsonFault fault) {
+  switch (fault) {
+    case JsonFault::none:
+      return "no error";
+    case JsonFault::text_after_value:
+      return "text after the value";
+    case JsonFault::not_a_value:
+      return "not a value";
+    case JsonFault::nested_too_deep:
+      return "nested too deep";
+    case JsonFault::truncated:
+      return "truncated";
+    case JsonFault::missing_name:
+      return "missing name";
+    case JsonFault::missing_colon:
+      return "missing colon";
+    case JsonFault::unterminated_object:
+      return "unterminated object";
+    case JsonFault::unterminated_list:
+      return "unterminated list";
+    case JsonFault::unterminated_string:
+      return "unterminated string";
+    case JsonFault::invalid_unicode_escape:
+      return "invalid \\u escape";
+    case JsonFault::invalid_escape:
+      return "invalid escape";
+    case JsonFault::control_character:
+      return "control character in a string";
+  }
+  return "";
+}
+
+}  // namespace
+
 std::string message(const JsonError& error) {
-  return error.what + " at byte " + std::to_string(error.at_byte);
+  return std::string(text_of(error.fault)) + " at byte " + std::to_string(error.at_byte);
 }
 
 Json::Json() = default;
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <cstddef>
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -12,12 +13,28 @@
 namespace meadowgauge::protocol {
 
 // Why a text is not a JSON value: the first error, and its byte offset.
+enum class JsonFault : std::uint8_t {
+  none,
+  text_after_value,
+  not_a_value,
+  nested_too_deep,
+  truncated,
+  missing_name,
+  missing_colon,
+  unterminated_object,
+  unterminated_list,
+  unterminated_string,
+  invalid_unicode_escape,
+  invalid_escape,
+  control_character
+};
+
 struct JsonError {
-  std::string what;
+  JsonFault fault = JsonFault::none;
   std::size_t at_byte = 0;
 };
 
-// "WHAT at byte N", for logs.
+// "FAULT at byte N", for logs.
 std::string message(const JsonError& error);
 
 // One JSON value; owns its members and elements. Numbers keep their original text.
--- a/tests/protocol/json_test.cpp
+++ b/tests/protocol/json_test.cpp
@@ -34,7 +34,7 @@
                           "[1",  "\"a", "{\"a\":1,}", "+1",      ".5",       "1e999"}) {
     JsonError error;
     EXPECT_FALSE(Json::parse(bad, &error)) << bad;
-    EXPECT_NE(error.what, "") << bad;
+    EXPECT_NE(error.fault, JsonFault::none) << bad;
     EXPECT_LE(error.at_byte, bad.size()) << bad;
   }
   EXPECT_FALSE(Json::parse(std::string(100000, '[')));
