--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -26,15 +26,18 @@
       buffers_(setup.memory_mb * 1024 * 1024 / 2 / transport::buffer_size),
       pool_(buffers_),
       policy_(setup.settings, setup.seed, now_ms_),
-      upstreams_(loop, pool_, due_, now_ms_,
+      upstreams_({.loop = loop, .buffers = pool_, .due_times = due_, .now_ms = now_ms_},
                  {.dial_timeout_ms = proxy_settings_.dial_timeout_ms,
                   .idle_timeout_ms = proxy_settings_.idle_timeout_ms,
                   .settle_ms = proxy_settings_.settle_ms,
                   .max_connections = divide_descriptors(descriptors_).upstream},
                  log_, [this] { return downstream_.shed(DownstreamConnections::ShedScope::any); }),
-      downstream_(loop, pool_, due_, setup.listen, now_ms_, divide_descriptors(descriptors_).downstream,
-                  divide_descriptors(descriptors_).downstream_overflow, counters_,
-                  {.shared = setup.shared, .later = setup.later}),
+      downstream_(
+          {.loop = loop, .buffers = pool_, .due_times = due_, .now_ms = now_ms_, .counters = counters_},
+          setup.listen,
+          {.max_served = divide_descriptors(descriptors_).downstream,
+           .max_overflow = divide_descriptors(descriptors_).downstream_overflow},
+          {.shared = setup.shared, .later = setup.later}),
       discovery_({.loop = loop, .pool = pool_, .due_times = due_, .now_ms = now_ms_}, setup.discovery,
                  setup.known.seq, setup.seed, log_, watch_terms(setup.settings, log_)),
       endpoints_(proxy_settings_, upstreams_, policy_, log_),
@@ -204,9 +207,9 @@
     return static_cast<std::size_t>(share * static_cast<double>(total));
   };
   auto budget = divide_descriptors(share_of(descriptors_));
-  pool_.allow(share_of(buffers_));
+  pool_.set_max_buffers(share_of(buffers_));
   upstreams_.set_max_connections(budget.upstream);
-  downstream_.set_limits(budget.downstream, budget.downstream_overflow);
+  downstream_.set_limits({.max_served = budget.downstream, .max_overflow = budget.downstream_overflow});
 }
 
 void Balancer::yield_to_successor() {
--- a/tests/proxy/upstream/upstream_parts_test.cpp
+++ b/tests/proxy/upstream/upstream_parts_test.cpp
@@ -1,8 +1,9 @@
-// Connections to endpoints, part by part: indices and addresses, how long a connection may lie idle, until
-// when an attempt may go on; and the states that a connection and an attempt go through, on sockets.
+// Parts of the upstream connections: endpoint indices and addresses, the idle timeout, attempt timeouts; and
+// the states of connections and attempts, on sockets.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
+#include <optional>
 #include <string>
 #include <utility>
 #include <vector>
@@ -19,7 +20,7 @@
 constexpr auto address = "127.0.0.1:1000";
 constexpr auto other_address = "127.0.0.1:2000";
 
-// One listed server.
+// One listed endpoint.
 struct OneServer {
   EndpointSlots slots;
   EndpointIndex endpoint = slots.add("a");
@@ -99,14 +100,14 @@
   EXPECT_EQ(estimator.close_after_ms(), usable_ms);
 }
 
-TEST(IdleTimeoutEstimator, OneDyingEndpointAndClosesBehindAResponseTellNothing) {
+TEST(IdleTimeoutEstimator, IgnoresADyingEndpointAndClosesAfterAResponse) {
   IdleTimeoutEstimator estimator(idle_timeout_ms);
   for (int i = 0; i < 20; ++i) estimator.closed_by_endpoint(EndpointIndex{0}, 1000, 0);
   for (int i = 0; i < 20; ++i) estimator.closed_by_endpoint(EndpointIndex{i}, 49, 0);
   EXPECT_EQ(estimator.usable_ms(0), usable_ms);
 }
 
-// A health check, which needs no message; its deadlines are those of any attempt.
+// A health check, which needs no message. Its timeouts are those of any attempt.
 UpstreamAttempt attempt_until(double connect_by_ms, double send_by_ms, double limit_at_ms) {
   return {EndpointIndex{0},
           UpstreamRequest::health_check("/load"),
@@ -132,7 +133,7 @@
   EXPECT_EQ(impatient.give_up_at_ms(), 5);
 }
 
-TEST(UpstreamAttempt, AResponseThatStreamsIsOwedByItsDueTimeUnlessItIsLarge) {
+TEST(UpstreamAttempt, StreamedResponseIsDueByItsTimeUnlessLarge) {
   auto attempt = attempt_until(10, 20, 30);
   attempt.connected(7);
   attempt.request_sent();
@@ -150,8 +151,7 @@
   EXPECT_EQ(attempt.stall_at_ms(1300, false), 11300) << "larger than what is held at a time";
 }
 
-// One endpoint, played by the test; time stands still but for its hand. Invariants are checked after each
-// batch.
+// One endpoint, played by the test, which also sets the clock. Checks the invariants after each batch.
 struct OneEndpoint : transport::Ready {
   transport::Loop loop;
   transport::Pool buffers{64};
@@ -159,7 +159,10 @@
   double now_ms = 1000;
   transport::Listener listener{loop, *transport::Address::parse("127.0.0.1:0"), *this};
   ConnectionPoolSettings settings;
-  Upstreams upstreams{loop, buffers, due_times, now_ms, settings, Logger(), [] { return false; }};
+  Upstreams upstreams{
+      {.loop = loop, .buffers = buffers, .due_times = due_times, .now_ms = now_ms}, settings, Logger(), [] {
+        return false;
+      }};
   SharedMessage request = std::make_shared<protocol::Message>(buffers, protocol::Message::Kind::request);
   transport::Fd connection;  // accepted last
 
@@ -173,7 +176,7 @@
       loop.wait(1);
       loop.dispatch();
       upstreams.destroy_closed();
-      EXPECT_EQ(upstreams.broken_invariant(), "");
+      EXPECT_EQ(upstreams.broken_invariant(), std::nullopt);
     }
   }
   void start(AttemptId id) {
@@ -188,7 +191,7 @@
     turns();
     return true;
   }
-  // Whether a request has come on the connection accepted last.
+  // Whether a request was received on the connection accepted last.
   bool request_came() const {
     char bytes[4096];
     return recv(connection.get(), bytes, sizeof bytes, MSG_DONTWAIT) > 0;
@@ -229,7 +232,7 @@
   EXPECT_EQ(e.take_outcomes(), Outcomes{Outcome::reset});
 }
 
-TEST(Upstreams, AnIdleConnectionIsClosedWhenItExpiresOrItsServerIsRemoved) {
+TEST(Upstreams, IdleConnectionClosesOnExpiryOrEndpointRemoval) {
   for (bool removed : {true, false}) {
     OneEndpoint e;
     e.start(1);
@@ -249,7 +252,7 @@
   }
 }
 
-TEST(Upstreams, ALargeResponseStreamsAndPausesUntilWhatIsHeldIsPassedOn) {
+TEST(Upstreams, LargeResponseStreamsAndPausesUntilDrained) {
   constexpr std::size_t size = 100000;
   constexpr std::size_t piece = 10000;
   OneEndpoint e;
--- a/tests/proxy/upstream/upstreams_test.cpp
+++ b/tests/proxy/upstream/upstreams_test.cpp
@@ -1,5 +1,5 @@
-// The upstream connection pool by itself: its endpoint indices, and attempts over connections to a server
-// that the test plays on an event loop of its own.
+// Upstreams alone: endpoint indices, and attempts over connections to a server that the test plays on its own
+// event loop.
 #include "proxy/upstream/upstreams.hpp"
 
 #include <gtest/gtest.h>
@@ -7,6 +7,7 @@
 
 #include <cstdint>
 #include <memory>
+#include <optional>
 #include <string>
 #include <utility>
 #include <vector>
@@ -20,13 +21,14 @@
 
 using protocol::Message;
 
-// With ever new names nothing grows, and an index is reused only once nothing of its server is left.
+// New names don't grow the table, and an index is reused only when its former endpoint has no state left.
 TEST(Upstreams, ReuseAnIndexOnceNothingIsLeftOfItsServer) {
   transport::Loop loop;
   transport::Pool pool(4);
   transport::DueTimes due;
   double now_ms = 0;
-  Upstreams upstreams(loop, pool, due, now_ms, {}, Logger(), [] { return false; });
+  Upstreams upstreams({.loop = loop, .buffers = pool, .due_times = due, .now_ms = now_ms}, {}, Logger(),
+                      [] { return false; });
   for (int i = 0; i < 1000; ++i) {
     EndpointIndex endpoint = upstreams.index_of("s" + std::to_string(i));
     EXPECT_EQ(endpoint, EndpointIndex{i % 2});
@@ -44,14 +46,16 @@
   EXPECT_EQ(upstreams.endpoints().size(), 2u);
 }
 
-// One server, which the test plays, and attempts of one request there. The test moves the clock.
+// One server, played by the test, and attempts of one request there. The test sets the clock.
 struct UpstreamsFixture : transport::Ready {
   transport::Loop loop;
   transport::Pool pool{64};
   transport::DueTimes due;
   double now_ms = 1000;
   transport::Listener listener{loop, *transport::Address::parse("127.0.0.1:0"), *this};
-  Upstreams upstreams{loop, pool, due, now_ms, {}, Logger(), [] { return false; }};
+  Upstreams upstreams{{.loop = loop, .buffers = pool, .due_times = due, .now_ms = now_ms}, {}, Logger(), [] {
+                        return false;
+                      }};
   SharedMessage request = std::make_shared<Message>(pool, Message::Kind::request);
 
   UpstreamsFixture() {
@@ -64,7 +68,7 @@
       loop.wait(1);
       loop.dispatch();
       upstreams.destroy_closed();
-      EXPECT_EQ(upstreams.broken_invariant(), "");
+      EXPECT_EQ(upstreams.broken_invariant(), std::nullopt);
     }
   }
   std::vector<Outcome> take_outcomes() {
@@ -72,7 +76,7 @@
     for (auto& e : std::exchange(upstreams.events(), {})) outcomes.push_back(e.outcome);
     return outcomes;
   }
-  // What the server receives over its next connection; nothing where there is none.
+  // The bytes that the server receives on its next connection; empty if there is none.
   std::string received_by_server() {
     run_loop();
     bool full = false;
@@ -87,11 +91,11 @@
 };
 using Outcomes = std::vector<Outcome>;
 
-// Withdrawn, cancelled, timed out, in any order: an attempt ends once, and what was never sent whole has not
-// executed.
+// An attempt that is abandoned, cancelled or timed out, in any order, completes once; an attempt that was not
+// sent to its last byte ends as not executed.
 TEST(Upstreams, AnAttemptEndsOnceWhateverEndsItTwice) {
   {
-    UpstreamsFixture fixture;  // it waits for its connection
+    UpstreamsFixture fixture;  // waits for a connection
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                             {.limit_ms = 500, .streaming_budget_ms = 500});
     fixture.upstreams.abandon_unsent(1);
@@ -104,7 +108,7 @@
     EXPECT_EQ(fixture.take_outcomes(), Outcomes{});
   }
   {
-    UpstreamsFixture fixture;  // it was sent whole: only a cancellation ends it
+    UpstreamsFixture fixture;  // sent to the last byte: only cancel() ends it
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                             {.limit_ms = 500, .streaming_budget_ms = 500});
     EXPECT_NE(fixture.received_by_server(), "");
@@ -115,7 +119,7 @@
     EXPECT_EQ(fixture.take_outcomes(), Outcomes{});
   }
   {
-    UpstreamsFixture fixture;  // it times out, and is cancelled in the same turn
+    UpstreamsFixture fixture;  // times out, and is cancelled in the same turn
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                             {.limit_ms = 500, .streaming_budget_ms = 500});
     EXPECT_NE(fixture.received_by_server(), "");
@@ -127,9 +131,8 @@
   }
 }
 
-// The connection is established and the time of the attempt is over in one turn: sent then, it would be
-// abandoned after its last byte, and a non-idempotent request that has not executed would count as one that
-// may have.
+// The connection is established in the turn in which the attempt times out. If it were sent then, it would be
+// abandoned after its last byte, and a non-idempotent request could not be retried.
 TEST(Upstreams, SendNothingOverAConnectionEstablishedTooLate) {
   UpstreamsFixture fixture;
   fixture.upstreams.start(1, EndpointIndex{0}, fixture.request, {.limit_ms = 50, .streaming_budget_ms = 50});
@@ -145,8 +148,8 @@
   EXPECT_GT(recv(fixture.connections.back().get(), bytes, sizeof bytes, MSG_DONTWAIT), 0);
 }
 
-// The body is complete and its time begins while the connection is still being established: the end of the
-// connect timeout, up to a second later, was the end of the wait.
+// The body is complete, and the attempt's limit starts, during the dial: the limit bounds the wait, not the
+// longer dial timeout.
 TEST(Upstreams, ALimitHoldsForWhatStillWaitsForItsConnection) {
   UpstreamsFixture fixture;
   auto arriving = std::make_shared<Message>(fixture.pool, Message::Kind::request, Message::Body::streaming);
@@ -160,7 +163,7 @@
   EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
 }
 
-// The window of the request's idempotency key ends while it waits for its connection: sent then, it would
+// The window of the idempotency key ends during the wait for a connection: sent then, the request could
 // execute twice.
 TEST(Upstreams, SendNoAttemptThatMissedItsLatestMoment) {
   for (bool at_once : {true, false}) {
@@ -168,7 +171,7 @@
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                             {.limit_ms = 500, .send_by_ms = 50, .streaming_budget_ms = 500});
     fixture.now_ms += 60;
-    if (at_once) {  // the connection is established in the turn in which the time is over
+    if (at_once) {  // connected in the turn in which the window ends
       EXPECT_EQ(fixture.received_by_server(), "");
       EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
     } else {
@@ -177,7 +180,7 @@
       EXPECT_EQ(fixture.received_by_server(), "");
     }
   }
-  UpstreamsFixture fixture;  // in time: its response may take until the timeout
+  UpstreamsFixture fixture;  // sent in time: the response may take until the limit
   fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                           {.limit_ms = 500, .send_by_ms = 50, .streaming_budget_ms = 500});
   EXPECT_NE(fixture.received_by_server(), "");
