--- a/src/fleet/config_agreement.cpp
+++ b/src/fleet/config_agreement.cpp
@@ -23,4 +23,18 @@
   return usable ? state.lendable : std::vector<membership::Quota>{};
 }
 
+bool requires_restart(const FleetConfig& in_use, const FleetConfig& next) {
+  return next.name != in_use.name || !(next.listen == in_use.listen) ||
+         next.terms.lease_ms != in_use.terms.lease_ms;
+}
+
+FleetConfig with_start_values(const FleetConfig& in_use, const FleetConfig& next) {
+  auto config = next;
+  config.name = in_use.name;
+  config.listen = in_use.listen;
+  config.timing = in_use.timing;
+  config.terms.lease_ms = in_use.terms.lease_ms;
+  return config;
+}
+
 }  // namespace meadowgauge::fleet
--- a/src/fleet/config_agreement.hpp
+++ b/src/fleet/config_agreement.hpp
@@ -5,6 +5,7 @@
 #include <cstdint>
 #include <vector>
 
+#include "fleet/config.hpp"
 #include "membership/member_table.hpp"
 
 namespace meadowgauge::fleet {
@@ -24,4 +25,9 @@
                                             membership::PeerIndex peer, std::uint64_t config_digest,
                                             double now_ms);
 
+// Whether `next` changes what holds from a start of the process: name, listen or lease_ms.
+bool requires_restart(const FleetConfig& in_use, const FleetConfig& next);
+// `next` with name, listen, gossip timing and lease_ms of the configuration in use.
+FleetConfig with_start_values(const FleetConfig& in_use, const FleetConfig& next);
+
 }  // namespace meadowgauge::fleet
--- a/src/program/admin_service.cpp
+++ b/src/program/admin_service.cpp
@@ -22,7 +22,7 @@
     auto snapshot = hot_restart::decode_snapshot(shared_.directory.read(hot_restart::snapshot_file),
                                                  clock_.now(), Takeover::max_snapshot_age_ms);
     if (const auto* learned = std::get_if<LearnedState>(&snapshot)) balancer_.restore_learned_state(*learned);
-    log_(Level::info, "another process of this balancer serves: takes over from it");
+    log_(Level::info, "takeover from an older process of this balancer begins");
   }
   advance_takeover();
 }
@@ -35,7 +35,7 @@
 
 admin::DrainResult AdminService::set_offline(const std::string& server_id, bool offline) {
   using Status = admin::DrainResult::Status;
-  // One that is out already may be put back although no list names it any more.
+  // A drained server may be put back even when the endpoint list no longer has it.
   if (!balancer_.is_listed(server_id) && !drains_.names().contains(server_id))
     return {Status::unknown_server};
   if (!drains_.set_drained(server_id, offline)) return {Status::too_many_drained};
@@ -64,7 +64,7 @@
   if (actions.listen) {
     balancer_.listen();
     shared_.locks.mark_serving();
-    if (takeover_.replaces_another()) log_(Level::info, "serves beside the process before it");
+    if (takeover_.replaces_another()) log_(Level::info, "takeover: listening beside the older process");
   }
   if (actions.claim_connections) balancer_.take_new_connections(others.older);
   if (actions.handover) balancer_.yield_to_successor();
--- a/src/program/admin_service.hpp
+++ b/src/program/admin_service.hpp
@@ -1,5 +1,6 @@
 // Day-to-day operation of the balancer: carries out the admin server's commands, keeps the servers that
-// operators have taken out, and runs an upgrade, in which two processes of one balancer serve side by side.
+// operators have drained, and runs an upgrade, during which two processes of one balancer listen side by
+// side.
 #pragma once
 
 #include "admin/server.hpp"
@@ -11,11 +12,10 @@
 
 namespace meadowgauge::program {
 
-// What the processes of one balancer share: a state directory, and locks that tell them apart. Created before
-// the balancer, so that it knows whether it shares its address.
+// State shared by the processes of one balancer: a state directory, and locks that tell them apart. Created
+// before the balancer, which needs to know whether it shares its address.
 struct SharedState {
-  // `folder` is for what outlives an upgrade; empty: nothing does. `name` is the balancer's own in that
-  // folder.
+  // `folder` holds the state that outlives an upgrade; empty: none does. `name` is unique in that folder.
   SharedState(const std::string& folder, const std::string& name)
       : directory(folder, name), locks(directory) {}
   hot_restart::StateDirectory directory;
@@ -24,8 +24,8 @@
 
 class AdminService final : admin::CommandHandler {
  public:
-  // All references outlive the service; `fleet` may be null. Takes over from a process that serves already.
-  // Throws std::system_error where `address`, or the clients' address, can't be listened on.
+  // All references outlive the service; `fleet` may be null. Takes over from a process that is listening
+  // already. Throws std::system_error where it cannot listen on `address` or on the clients' address.
   AdminService(transport::Loop& loop, proxy::Balancer& balancer, SharedState& shared,
                const transport::Address& address, proxy::Logger log, const FleetCoordinator* fleet);
   // The admin server's address as bound.
@@ -44,7 +44,7 @@
   proxy::Balancer& balancer_;
   SharedState& shared_;
   proxy::Logger log_;
-  const FleetCoordinator* fleet_;  // none where the file has no [fleet]
+  const FleetCoordinator* fleet_;  // null without [fleet] in the file
   transport::Clock clock_;
   hot_restart::ManualDrains drains_;
   hot_restart::Takeover takeover_;
--- a/src/program/check.cpp
+++ b/src/program/check.cpp
@@ -1,4 +1,4 @@
-// The subcommand `check`. What it prints is an interface: operators' scripts read it.
+// The subcommand `check`. Its output is an interface: operators' scripts read it.
 #include <algorithm>
 #include <iostream>
 #include <utility>
@@ -22,7 +22,7 @@
   return 0;
 }
 
-// All problems in the order of the file, not just the first.
+// Prints all problems in the order of the file.
 void print_problems(const std::string& file, std::vector<settings::Problem> problems) {
   std::stable_sort(problems.begin(), problems.end(), [](const auto& a, const auto& b) {
     return std::pair(a.line, a.column) < std::pair(b.line, b.column);
--- a/src/program/configuration.hpp
+++ b/src/program/configuration.hpp
@@ -1,5 +1,5 @@
-// Where this process's configuration comes from: the operator's file where one is named, the platform's
-// otherwise.
+// Selects the source of the configuration: the operator's file where `--config` names it, the platform's
+// environment and file otherwise.
 #pragma once
 
 #include <optional>
@@ -10,10 +10,10 @@
 
 namespace meadowgauge::program {
 
-// A variable of this process's environment; nothing where it is not set.
+// A variable of this process's environment; no value where it is unset.
 std::optional<std::string> environment_variable(const char* name);
 
-// Reads the configuration, at the start and on each reload. Throws ConfigError or settings::BadFile.
+// Reads the configuration, at startup and on each reload. Throws ConfigError or settings::BadFile.
 proxy::Setup read_configuration(const Options& options, const proxy::Logger& log);
 
 }  // namespace meadowgauge::program
--- /dev/null
+++ b/src/program/fleet_log.hpp
@@ -0,0 +1,51 @@
+// The log lines of a fleet's instance. A state is logged when it changes, so the last logged one is kept
+// here.
+#pragma once
+
+#include <array>
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "membership/datagram_socket.hpp"
+#include "membership/member_table.hpp"
+#include "proxy/logger.hpp"
+#include "transport/address.hpp"
+
+namespace meadowgauge::program {
+
+class FleetLog {
+ public:
+  explicit FleetLog(proxy::Logger log) : log_(std::move(log)) {}
+
+  void disabled() const;
+  void restart_needed() const;
+  void limit_needs_restart(const std::string& limit_name) const;
+  void reloaded(std::size_t member_count, std::size_t limit_count) const;
+  void bound(const std::string& instance, const transport::Address& address) const;
+  // Logs each reason once until another one occurs.
+  void bind_failed(const transport::Address& address, const std::string& reason);
+  void ejected_servers(std::size_t count) const;
+
+  // All members are logged as gone until update_status() says otherwise. `slot_count`: slots of peers.
+  void reset_statuses(std::size_t slot_count);
+  void update_status(membership::PeerIndex peer, const std::string& name, membership::MemberStatus status);
+  // Whether the limits are in force, without a line in the log.
+  void set_limits_in_force(bool in_force) { limits_in_force_ = in_force; }
+  void update_limits_in_force(bool in_force);
+  // A line for each reason for which datagrams were dropped since the last call.
+  void drops(const membership::DatagramCounters& counters);
+  void still_unbound(const transport::Address& address) const;
+
+ private:
+  using DropCounts = std::array<std::uint64_t, static_cast<std::size_t>(membership::DropReason::count)>;
+
+  proxy::Logger log_;
+  bool limits_in_force_ = true;
+  std::string bind_error_;
+  std::vector<membership::MemberStatus> statuses_;  // by peer
+  DropCounts drops_{};
+};
+
+}  // namespace meadowgauge::program
--- /dev/null
+++ b/src/program/fleet_verdicts.cpp
@@ -0,0 +1,58 @@
+#include "program/fleet_verdicts.hpp"
+
+#include <algorithm>
+
+namespace meadowgauge::program {
+
+namespace {
+
+constexpr double verdict_interval_ms = 50;  // from a verdict to its effect on picks, at most
+
+}  // namespace
+
+bool FleetVerdicts::merge(const membership::MemberState& state, double made_at_ms) {
+  return verdicts_.merge(state.name, state.observations, state.unhealthy_share, made_at_ms);
+}
+
+void FleetVerdicts::report(membership::MemberState& own, double now_ms) const {
+  own.observations = verdicts_.observations(now_ms);
+  own.unhealthy_share = verdicts_.unhealthy_share(now_ms);
+}
+
+bool FleetVerdicts::tick(double now_ms) {
+  if (!balancer_ || now_ms < next_tick_at_ms_) return false;
+  next_tick_at_ms_ = now_ms + verdict_interval_ms;
+  const bool newly_failing = verdicts_.record_suspects(balancer_->ejected_servers(), now_ms);
+  apply(now_ms);
+  return newly_failing;
+}
+
+void FleetVerdicts::apply(double now_ms) {
+  std::vector<std::string> alive;
+  std::vector<std::string> known;
+  for (auto peer : members_.members()) {
+    known.push_back(members_.name(peer));
+    if (members_.status(peer, now_ms) == membership::MemberStatus::alive)
+      alive.push_back(members_.name(peer));
+  }
+  std::sort(alive.begin(), alive.end());
+  std::sort(known.begin(), known.end());
+  verdicts_.expire(known, now_ms);
+  publish(verdicts_.ejected(balancer_->listed_servers(), alive, now_ms));
+}
+
+// The policy lets gossip expire, so an ejected server is reported on every tick. A server that is no longer
+// ejected is reported healthy once: the newer report replaces the last.
+void FleetVerdicts::publish(std::vector<fleet::ServerId> ejected) {
+  GossipContent gossip;
+  for (auto server : ejected)
+    gossip.endpoints.push_back({.id = server, .response_ms = 0, .failure_share = 1, .age_ms = 0});
+  for (auto server : ejected_)
+    if (std::find(ejected.begin(), ejected.end(), server) == ejected.end())
+      gossip.endpoints.push_back({.id = server, .response_ms = 0, .failure_share = 0, .age_ms = 0});
+  if (ejected != ejected_) log_.ejected_servers(ejected.size());
+  ejected_ = std::move(ejected);
+  if (!gossip.endpoints.empty()) balancer_->gossip_received(gossip);
+}
+
+}  // namespace meadowgauge::program
--- /dev/null
+++ b/src/program/fleet_verdicts.hpp
@@ -0,0 +1,47 @@
+// Applies the fleet's verdicts on servers to the balancer, and reports what the balancer finds.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "fleet/outlier_verdicts.hpp"
+#include "membership/member_table.hpp"
+#include "program/fleet_log.hpp"
+#include "proxy/balancer.hpp"
+
+namespace meadowgauge::program {
+
+// fleet::OutlierVerdicts decides which servers are ejected; this gives it its inputs and applies the result.
+class FleetVerdicts {
+ public:
+  // `members` and `log` outlive this.
+  FleetVerdicts(std::string own_name, const membership::MemberTable& members, const FleetLog& log)
+      : verdicts_(std::move(own_name)), members_(members), log_(log) {}
+
+  // The balancer outlives this. Without one tick() does nothing.
+  void set_balancer(proxy::Balancer& balancer) { balancer_ = &balancer; }
+
+  void record_success(std::uint32_t server, double now_ms) { verdicts_.record_success(server, now_ms); }
+  // The state of another instance, made at `made_at_ms`. True: it reports a server that was not failing.
+  bool merge(const membership::MemberState& state, double made_at_ms);
+  // True: the balancer has ejected a server that was not failing. To be called on each tick.
+  bool tick(double now_ms);
+  // Writes this instance's observations into its own state.
+  void report(membership::MemberState& own, double now_ms) const;
+  [[nodiscard]] std::size_t ejected_count() const { return ejected_.size(); }
+
+ private:
+  void apply(double now_ms);
+  void publish(std::vector<fleet::ServerId> ejected);
+
+  fleet::OutlierVerdicts verdicts_;
+  const membership::MemberTable& members_;
+  const FleetLog& log_;
+  proxy::Balancer* balancer_ = nullptr;
+  std::vector<fleet::ServerId> ejected_;  // as last reported to the balancer
+  double next_tick_at_ms_ = 0;
+};
+
+}  // namespace meadowgauge::program
--- a/src/program/log.cpp
+++ b/src/program/log.cpp
@@ -48,7 +48,7 @@
   return nlohmann::json(std::get<double>(field.value)).dump();
 }
 
-// The event and its fields, as they stand in the JSON object after the pattern's own.
+// The event and its fields as members of the JSON object, after the members of the pattern.
 std::string json_members(std::string_view event, std::span<const LogField> fields) {
   std::string text(R"("event":)");
   text += to_json(event);
@@ -90,7 +90,7 @@
   }
 
  private:
-  // Given as it is: the line is no format, whatever braces it holds.
+  // Passes the line as a string_view: braces in it must not be taken for a format.
   void write_line(Level level, std::string_view line) {
     spdlog_.log(spdlog_level(level), spdlog::string_view_t(line.data(), line.size()));
   }
--- a/src/program/log.hpp
+++ b/src/program/log.hpp
@@ -1,4 +1,4 @@
-// The log: one event a line on a stream, as text or as JSON with named fields, through spdlog.
+// The log: one event per line on a stream, as text or as JSON with named fields, through spdlog.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,13 @@
 
 namespace meadowgauge::program {
 
-// Of a process whose name is not known.
+// The name in log lines while the process's name is unknown.
 inline constexpr const char* nameless = "-";
 
 // How a line is written; see Log.
 enum class LogFormat : std::uint8_t { text, json };
 
-// By their names on the command line; nothing for others.
+// Parse the names on the command line; no value for other names.
 std::optional<proxy::Level> parse_level(std::string_view name);
 std::optional<LogFormat> parse_log_format(std::string_view name);
 
@@ -28,7 +28,7 @@
  public:
   // Writes events of `level` and above. `out` outlives the log and all loggers from it.
   Log(std::ostream& out, proxy::Level level, LogFormat format, const std::string& name);
-  // A logger shares what it writes with and may outlive the log.
+  // The logger shares the writer and may outlive the log.
   [[nodiscard]] proxy::Logger logger() const;
 
  private:
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -1,4 +1,4 @@
-// meadowgauge: the command line. Exit status 0: done; 1: it could not start, or `check` has found problems.
+// meadowgauge: the command line. Exit status 0: success; 1: startup failed, or `check` has found problems.
 #include <cxxopts.hpp>
 #include <exception>
 #include <iostream>
@@ -15,15 +15,14 @@
 cxxopts::Options command_line() {
   cxxopts::Options options("meadowgauge", "A load balancer between services.");
   options.positional_help("serve|check|version")
-      .add_options()("command",
-                     "serve: balance; check: read the configuration and say what is wrong; version",
+      .add_options()("command", "serve: run the load balancer; check: validate the configuration; version",
                      cxxopts::value<std::string>()->default_value("serve"))(
-          "config", "an operator's own file in TOML, in place of the four variables",
-          cxxopts::value<std::string>())("log-format", "text or json, one event a line",
+          "config", "configuration file in TOML, in place of the environment variables",
+          cxxopts::value<std::string>())("log-format", "text or json, one event per line",
                                          cxxopts::value<std::string>()->default_value("text"))(
           "log-level", "debug, info, warning or error", cxxopts::value<std::string>()->default_value("info"))(
-          "leave-ms", "how long to serve on after SIGTERM (the longest client timeout, 3000 at most)",
-          cxxopts::value<unsigned>())("h,help", "this text");
+          "leave-ms", "drain time after SIGTERM, in ms (default: the maximum client timeout, up to 3000)",
+          cxxopts::value<unsigned>())("h,help", "print this help");
   options.parse_positional({"command"});
   return options;
 }
@@ -34,11 +33,11 @@
   throw ConfigError({.reason = "unknown command " + name + ": serve, check or version", .value = name});
 }
 
-// Throws ConfigError, or what cxxopts throws.
+// Throws ConfigError or cxxopts::exceptions::exception.
 Options parse_options(const cxxopts::ParseResult& given) {
   Options options;
   const auto command = given["command"].as<std::string>();
-  // Help and the version are given whatever else stands on the line.
+  // Help and version ignore all other options, valid or not.
   if (given.count("help") > 0) {
     options.subcommand = Subcommand::help;
     return options;
@@ -50,13 +49,15 @@
   const auto level_name = given["log-level"].as<std::string>();
   const auto level = parse_level(level_name);
   if (!level)
-    throw ConfigError(
-        {.key = "--log-level", .reason = "knows debug, info, warning and error", .value = level_name});
+    throw ConfigError({.key = "--log-level",
+                       .reason = "must be debug, info, warning or error: " + level_name,
+                       .value = level_name});
   options.log_level = *level;
   const auto format_name = given["log-format"].as<std::string>();
   const auto format = parse_log_format(format_name);
   if (!format)
-    throw ConfigError({.key = "--log-format", .reason = "knows text and json", .value = format_name});
+    throw ConfigError(
+        {.key = "--log-format", .reason = "must be text or json: " + format_name, .value = format_name});
   options.log_format = *format;
   if (given.count("config") > 0) options.config_file = given["config"].as<std::string>();
   if (given.count("leave-ms") > 0) options.shutdown_delay_ms = given["leave-ms"].as<unsigned>();
--- a/src/program/operator_file.cpp
+++ b/src/program/operator_file.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t max_report_columns = 4;
 constexpr int default_max_attempts = 3;
 
-// Numbers as the decision module's settings write them.
+// The form of numbers in the decision module's settings.
 std::string format_number(double value) {
   constexpr int significant_digits = 15;
   std::ostringstream text;
@@ -37,13 +37,13 @@
   if (std::find(names.begin(), names.end(), name) == names.end()) names.push_back(name);
 }
 
-double read_number(Reader& table, std::string_view key, double fallback, double least, double most) {
-  table.get(key, fallback, least, most);
+double read_number(Reader& table, std::string_view key, double fallback, double min_value, double max_value) {
+  table.get(key, fallback, min_value, max_value);
   return fallback;
 }
 
-double read_duration(Reader& table, std::string_view key, double fallback_ms, double least_ms = 0) {
-  return read_number(table, key, fallback_ms, least_ms, max_duration_ms);
+double read_duration(Reader& table, std::string_view key, double fallback_ms, double min_ms = 0) {
+  return read_number(table, key, fallback_ms, min_ms, max_duration_ms);
 }
 
 bool read_bool(Reader& table, std::string_view key, bool fallback) {
@@ -51,7 +51,7 @@
   return fallback;
 }
 
-// A name that stands once among its kind, fit for a path and a header.
+// Reads a name that is unique among its kind and valid in a path and a header.
 std::string read_unique_name(Reader& table, std::set<std::string>& taken) {
   std::string name;
   table.need("name");
@@ -63,7 +63,7 @@
   return name;
 }
 
-// What the decision module calls a figure of load reports; other names stay.
+// The decision module's name of a load report's value; other names are unchanged.
 std::string report_column(const std::string& name) {
   using Names = std::pair<std::string_view, std::string_view>;
   constexpr std::array module_names{Names{"inflight", "concurrent"}, Names{"queue", "depth"},
@@ -73,8 +73,8 @@
   return it == module_names.end() ? name : std::string(it->second);
 }
 
-// Reads one file. Each table's function writes the keys of the decision module's settings, so that what the
-// operator's keys become stands beside them.
+// Reads one file. Each table's function writes the decision module's settings, so that an operator's key and
+// the setting that it becomes stand side by side.
 class OperatorFileReader {
  public:
   explicit OperatorFileReader(std::vector<Problem>& problems) : problems_(problems) {}
@@ -134,7 +134,7 @@
     set("fees.cross_zone", read_number(file, "crossing_price", 0, 0, 1));
   }
 
-  // The endpoint list comes from discovery or stands in the file.
+  // Requires exactly one source of the endpoint list: discovery or [[servers]].
   void read_list_source(Reader& file) {
     const bool from_discovery = file.has("discovery");
     const bool from_file = file.has("servers");
@@ -185,9 +185,9 @@
   }
 
   void read_reports(Reader& table) {
-    constexpr std::array<std::string_view, 3> module_ways{"off", "inline", "on_probe"};
-    std::size_t way = 0;
-    table.choose("how", way, {"off", "inline", "probe"});
+    constexpr std::array<std::string_view, 3> module_modes{"off", "inline", "on_probe"};
+    std::size_t mode = 0;
+    table.choose("how", mode, {"off", "inline", "probe"});
     std::vector<std::string> columns;
     table.get("columns", columns);
     for (auto& column : columns) {
@@ -196,7 +196,7 @@
       column = report_column(column);
     }
     if (columns.size() > max_report_columns) table.wrong("columns", "holds more than four names");
-    set("report.how", std::string(module_ways[way]));
+    set("report.how", std::string(module_modes[mode]));
     set("report.columns", join(columns));
   }
 
@@ -251,7 +251,7 @@
     setup_.known.hosts.push_back(std::move(entry));
   }
 
-  // Zones that the file names come first, then this balancer's own and those that only servers name.
+  // The order of zones: `zones` of the file, this balancer's own, those that only servers name.
   void set_zones() {
     std::vector<std::string> server_kinds;
     add_once(zones_, zone_);
@@ -266,7 +266,7 @@
     setup_.known.full = true;
   }
 
-  // What the platform's file also tells and an operator's file has one value for.
+  // Settings that the platform's file varies and that have one value for an operator's file.
   void set_constants() {
     set("path_prefixes.count", request_classes_.size());
     set("tenants.count", tenants_.size());
@@ -282,7 +282,7 @@
   std::string zone_ = "here";
   std::vector<std::string> zones_;
   int balancers_in_zone_ = 1;
-  // Names in their order in the file, and the same as sets.
+  // Names in the order of the file; the sets below detect duplicates.
   std::vector<std::string> request_classes_;
   std::vector<std::string> tenants_;
   std::set<std::string> request_class_names_;
--- a/src/program/operator_file.hpp
+++ b/src/program/operator_file.hpp
@@ -11,8 +11,8 @@
 
 namespace meadowgauge::program {
 
-// Appends all that is wrong with the file to `problems`, each with its line and column; the setup is of use
-// only if there is nothing. `seed` is for a file that states none.
+// Appends each problem with its line and column to `problems`; the setup is valid only if there is none.
+// `seed` is the default for a file without `seed`.
 proxy::Setup read_operator_file(const settings::Node& file, std::uint64_t seed,
                                 std::vector<settings::Problem>& problems);
 
--- a/src/program/options.hpp
+++ b/src/program/options.hpp
@@ -1,4 +1,4 @@
-// What the command line says, once it is parsed.
+// The parsed command line.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 
 namespace meadowgauge::program {
 
-// What the program is to do.
+// The action that the command line selects.
 enum class Subcommand : std::uint8_t { serve, check, version, help };
 
-// Defaults are those of options that were not given.
+// Defaults apply to options that are absent.
 struct Options {
   Subcommand subcommand = Subcommand::serve;
-  std::string config_file;  // the operator's own; empty: the platform's environment variables
+  std::string config_file;  // in TOML; empty: the platform's environment variables
   proxy::Level log_level = proxy::Level::info;
   LogFormat log_format = LogFormat::text;
-  // How long it serves on after SIGTERM; the longest client timeout, within a bound, where it is not given.
+  // Drain time after SIGTERM, in ms; absent: the maximum client timeout, within a bound.
   std::optional<unsigned> shutdown_delay_ms;
 };
 
--- a/src/program/platform_config.cpp
+++ b/src/program/platform_config.cpp
@@ -43,7 +43,7 @@
   return address;
 }
 
-// A limit of the machine: one that can't be read is no reason not to serve.
+// Reads a limit of the machine. An invalid limit is logged and keeps its default, so that startup goes on.
 void read_limit(const Json& limits, std::string_view name, std::size_t& limit, const proxy::Logger& log) {
   constexpr double max_limit = 1e9;
   const auto* value = limits.find(name);
@@ -52,8 +52,9 @@
     limit = static_cast<std::size_t>(*number);
     return;
   }
-  log(Level::warning,
-      std::string("limits.").append(name).append(" can't be read, used: ").append(std::to_string(limit)));
+  const auto key = std::string("limits.").append(name);
+  log(Level::warning, key + " is not a number between 1 and 1e9: using " + std::to_string(limit),
+      {{"key", std::string_view(key)}, {"value", static_cast<double>(limit)}});
 }
 
 [[noreturn]] void refuse_setting(std::string_view key, std::string_view value, const std::string& allowed) {
@@ -62,7 +63,7 @@
                      .value = std::string(value)});
 }
 
-void check_number(const Settings& settings, std::string_view key, double least, double most) {
+void check_number(const Settings& settings, std::string_view key, double min_value, double max_value) {
   const auto it = settings.find(key);
   if (it == settings.end()) return;
   const auto& text = it->second;
@@ -70,9 +71,9 @@
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text_end, value);
   const bool is_number = error == std::errc{} && end == text_end;
-  if (is_number && value >= least && value <= most) return;
+  if (is_number && value >= min_value && value <= max_value) return;
   std::ostringstream allowed;
-  allowed << "between " << least << " and " << most;
+  allowed << "between " << min_value << " and " << max_value;
   refuse_setting(key, text, allowed.str());
 }
 
@@ -86,18 +87,18 @@
   refuse_setting(key, it->second, allowed);
 }
 
-// Settings that decide which way a balancer works: with a slip there it would work another way unseen.
+// Validates the settings that select a mode: an error there would silently select another mode.
 void check_settings(const Settings& settings) {
-  constexpr std::array<std::string_view, 2> truths{"true", "false"};
-  constexpr std::array<std::string_view, 3> report_ways{"off", "inline", "on_probe"};
+  constexpr std::array<std::string_view, 2> boolean_names{"true", "false"};
+  constexpr std::array<std::string_view, 3> report_modes{"off", "inline", "on_probe"};
   for (const auto* key : {"limits.peer_messages", "limits.probes", "specifics.warm_keys"})
-    check_choice(settings, key, truths, "true or false");
+    check_choice(settings, key, boolean_names, "true or false");
   check_number(settings, "my_number", 0, 65535);
   check_number(settings, "replicas_of_me", 1, 65536);
   check_number(settings, "fees.cross_zone", 0, 1000);
   check_number(settings, "rules.overload_for_ms", 0, 3600000);
   check_number(settings, "tick_ms", 0.01, 1000);
-  check_choice(settings, "report.how", report_ways, "off, inline or on_probe");
+  check_choice(settings, "report.how", report_modes, "off, inline or on_probe");
 }
 
 void read_seed(const Json& config, std::uint64_t& seed, const proxy::Logger& log) {
@@ -108,19 +109,21 @@
   if (text != nullptr &&
       std::from_chars(text->data(), text->data() + text->size(), seed, hexadecimal).ec == std::errc{})
     return;
-  log(Level::warning, "seed can't be read");
+  log(Level::warning, "seed is not hexadecimal: using the default", {{"key", std::string_view("seed")}});
 }
 
-// The endpoint list as known from before the start; without one the balancer waits for discovery.
+// Reads the endpoint list known before the start; without one the balancer waits for discovery.
 void read_known_endpoints(const Json& config, protocol::EndpointList& known, const proxy::Logger& log) {
   const auto* value = config.find("known");
   if (!value) return;
   auto list = protocol::read_endpoint_list(*value);
   if (!list) {
-    log(Level::warning, "known can't be read: starts without a list");
+    log(Level::warning, "known is not an endpoint list: starting without one",
+        {{"key", std::string_view("known")}});
     return;
   }
-  for (const auto& entry : list->skipped) log(Level::warning, "known: skipped: " + entry);
+  for (const auto& entry : list->skipped)
+    log(Level::warning, "known: endpoint skipped: " + entry, {{"endpoint", std::string_view(entry)}});
   known = std::move(*list);
 }
 
@@ -136,7 +139,7 @@
   std::ifstream file(path, std::ios::binary);
   std::stringstream text;
   if (!(text << file.rdbuf()))
-    throw ConfigError({.key = "GW_CONFIG", .reason = "can't be read: " + path, .value = path});
+    throw ConfigError({.key = "GW_CONFIG", .reason = "names an unreadable file: " + path, .value = path});
   return std::move(text).str();
 }
 
@@ -152,9 +155,9 @@
     read_limit(*limits, "sockets", setup.descriptors, log);
     read_limit(*limits, "memory_mb", setup.memory_mb, log);
   }
-  // On a reload discovery is named here: the environment is that of the start.
+  // A reload can change discovery only here: the environment is fixed at the start.
   if (const auto discovery = read_address(config, "discovery")) setup.discovery = discovery;
-  // Where GW_MGMT is set the file's address is not even looked at.
+  // GW_MGMT overrides the file's address, which is then not validated.
   if (!setup.mgmt) setup.mgmt = read_address(config, "mgmt");
   read_seed(config, setup.seed, log);
   read_known_endpoints(config, setup.known, log);
--- a/src/program/platform_config.hpp
+++ b/src/program/platform_config.hpp
@@ -12,13 +12,13 @@
 
 namespace meadowgauge::program {
 
-// The value of an environment variable; nothing where it is not set.
+// The value of an environment variable; no value where it is unset.
 using Environment = std::function<std::optional<std::string>(const char* name)>;
 
-// Throws ConfigError. Optional parts that can't be read are logged and keep their defaults.
+// Throws ConfigError. Invalid optional parts are logged and keep their defaults.
 proxy::Setup read_platform_config(const Environment& environment, const proxy::Logger& log);
 
-// The JSON file's `text` alone, into a setup that has the variables' values. Throws ConfigError, without the
+// Reads the JSON file's `text` into a setup that has the variables' values. Throws ConfigError without the
 // file's name.
 void read_platform_file(std::string_view text, proxy::Setup& setup, const proxy::Logger& log);
 
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -22,33 +22,33 @@
 
 using proxy::Level;
 
-// The name that the log's lines have; known before the configuration is read as a whole.
+// The name in each log line. Reads the configuration without a log, because the log needs the name first.
 std::string log_name(const Options& options) {
   if (options.config_file.empty()) return environment_variable("GW_NAME").value_or(nameless);
   return read_configuration(options, {}).name;
 }
 
-// No more descriptors than the system lets this process have.
+// Caps the limit at RLIMIT_NOFILE.
 void apply_descriptor_limit(proxy::Setup& setup) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) return;
   setup.descriptors = std::min<std::size_t>(setup.descriptors, limit.rlim_cur);
 }
 
-// What is shared with another process of this balancer at an upgrade; null where there is no admin server.
+// The state shared with another process of this balancer at an upgrade; null without an admin server.
 std::unique_ptr<SharedState> open_shared_state(proxy::Setup& setup) {
   if (!setup.mgmt) return nullptr;
-  // Other balancers may share the folder, and even the name.
+  // The address makes the name unique: other balancers may share the folder and the name.
   const auto name = setup.name + "@" + setup.listen.text();
   auto shared = std::make_unique<SharedState>(environment_variable("TMPDIR").value_or(""), name);
   setup.shared = shared->directory.exists();
-  // The admin service says when to listen: a process that can't open its admin address serves nobody.
+  // The admin service starts the listener, so that a process without its admin address accepts no client.
   setup.later = true;
   return shared;
 }
 
-// All that one serving process owns. Members are destroyed from the last to the first: the balancer before
-// what its callbacks refer to.
+// Owns all parts of one serving process. Members are destroyed from the last to the first: the balancer
+// before the objects that its callbacks refer to.
 class Service {
  public:
   // Throws where an address can't be listened on. `options` outlive the service.
@@ -63,9 +63,9 @@
     if (setup.mgmt) start_admin_service(*setup.mgmt);
   }
 
-  // Until a graceful shutdown has ended.
+  // Returns when a graceful shutdown has ended.
   void run() {
-    log_address(balancer_.ready() ? "serves on " : "is to serve on ", balancer_.address());
+    log_address(balancer_.ready() ? "listening on " : "waiting to listen on ", balancer_.address());
     balancer_.run();
     log_(Level::info, "ended");
   }
@@ -80,7 +80,7 @@
   void start_admin_service(const transport::Address& address) {
     admin_service_.emplace(loop_, balancer_, *shared_, address, log_, fleet_ ? &*fleet_ : nullptr);
     balancer_.on_tick([this] { admin_service_->tick(); });
-    log_address("admin server listens on ", admin_service_->address());
+    log_address("admin server listening on ", admin_service_->address());
   }
 
   void log_address(const std::string& what, const transport::Address& address) const {
@@ -88,7 +88,7 @@
     log_(Level::info, what + text, {{"address", std::string_view(text)}});
   }
 
-  // Whatever is wrong with the new configuration, the one in use stays.
+  // An invalid configuration leaves the one in use unchanged.
   void reload() {
     try {
       const auto setup = read_configuration(options_, log_);
@@ -96,10 +96,12 @@
       if (fleet_)
         fleet_->reload(setup.fleet);
       else if (setup.fleet)
-        log_(Level::warning, "[fleet] holds from the next start on");
+        log_(Level::warning, "[fleet] added: takes effect after a restart");
     } catch (const std::exception& error) {
       balancer_.reload_failed();
-      log_(Level::error, std::string("configuration not taken over: ") + error.what());
+      const std::string_view reason = error.what();
+      log_(Level::error, std::string("reload failed, configuration unchanged: ").append(reason),
+           {{"reason", reason}});
     }
   }
 
@@ -123,7 +125,7 @@
 }  // namespace
 
 int serve(const Options& options) {
-  // A signal that comes while the configuration is read waits until there is a handler.
+  // A signal that arrives while the configuration is read stays pending until there is a handler.
   Signals::block();
   const Log log(std::cerr, options.log_level, options.log_format, log_name(options));
   const auto logger = log.logger();
--- a/src/program/signals.cpp
+++ b/src/program/signals.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-// Guards against a SIGHUP that comes while the first configuration is still being read: it ended the process.
+// A SIGHUP that arrives while the first configuration is being read would end the process by default.
 void Signals::block() {
   const auto set = handled_signals();
   sigprocmask(SIG_BLOCK, &set, nullptr);
@@ -36,7 +36,7 @@
 Signals::Signals(transport::Loop& loop, std::function<void()> on_terminate, std::function<void()> on_reload)
     : loop_(loop), on_terminate_(std::move(on_terminate)), on_reload_(std::move(on_reload)) {
   block();
-  std::signal(SIGPIPE, SIG_IGN);  // also for standard error, whose reader may go
+  std::signal(SIGPIPE, SIG_IGN);  // also for standard error, whose reader may exit
   const auto set = handled_signals();
   fd_ = transport::Fd(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
   if (!fd_) throw std::system_error(errno, std::generic_category(), "signalfd");
--- a/src/program/signals.hpp
+++ b/src/program/signals.hpp
@@ -9,7 +9,7 @@
 
 namespace meadowgauge::program {
 
-// One in a process. Owns a signalfd; the signals stay blocked after it.
+// There is one per process. Owns a signalfd; the signals stay blocked after its destruction.
 class Signals final : transport::Ready {
  public:
   // Blocks the signals and ignores SIGPIPE. `on_terminate` is called for SIGTERM and SIGINT, `on_reload` for
@@ -19,9 +19,9 @@
   Signals(const Signals&) = delete;
   Signals& operator=(const Signals&) = delete;
 
-  // From here on none of the signals ends the process: those that come before there is a Signals wait for it.
+  // Blocks the signals, so that none ends the process: they stay pending until a Signals exists.
   static void block();
-  // Whether SIGTERM or SIGINT waits to be handled.
+  // Whether SIGTERM or SIGINT is pending.
   static bool termination_pending();
 
  private:
--- a/tests/e2e/discovery_watch_test.cpp
+++ b/tests/e2e/discovery_watch_test.cpp
@@ -72,7 +72,7 @@
   for (std::string bad : {"", "{", R"({"settings":{}, "discovery":"nowhere"})"}) {
     proxy.write_config(bad);
     proxy.reload();
-    proxy.wait_for_log("configuration not taken over");
+    proxy.wait_for_log("reload failed, configuration unchanged");
   }
   ListeningSocket next;
   proxy.reload_with_discovery(next.address());
--- a/tests/e2e/shutdown_test.cpp
+++ b/tests/e2e/shutdown_test.cpp
@@ -151,7 +151,9 @@
     process.signal(SIGTERM);
     process.finish_configuration();
     EXPECT_EQ(process.exit_status(), 0);
-    EXPECT_EQ(process.log().find("serves on"), std::string::npos);
+    const auto log = process.log();  // can be read once
+    EXPECT_EQ(log.find("listening on"), std::string::npos);
+    EXPECT_EQ(log.find("serves on"), std::string::npos);
   }
   StartingProcess process(discovery.address());
   process.signal(SIGHUP);
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -186,7 +186,7 @@
   pair.old.terminate();
   EXPECT_EQ(pair.old.exit_status(), 0);
   auto third = pair.start_another();
-  third->wait_for_log("serves beside");
+  third->wait_for_log("listening beside");
   EXPECT_EQ(third->metric("hosts_listed"), 1);
   pair.next->terminate();
   EXPECT_EQ(pair.next->exit_status(), 0);
--- a/tests/program/operator_test.cpp
+++ b/tests/program/operator_test.cpp
@@ -245,7 +245,7 @@
   EXPECT_EQ(fault("{}").value, "here");
   variables["GW_LISTEN"] = variables["GW_DISCOVERY"] = "127.0.0.1:1";
   variables["GW_CONFIG"] = path + ".absent";
-  EXPECT_EQ(format_fault(fault("{}")), "GW_CONFIG can't be read: " + path + ".absent");
+  EXPECT_EQ(format_fault(fault("{}")), "GW_CONFIG names an unreadable file: " + path + ".absent");
   variables["GW_CONFIG"] = path;
   EXPECT_EQ(format_fault(fault("[]")), path + ": not a JSON object");
   EXPECT_EQ(format_fault(fault("{}")), path + ": settings are missing");
