--- a/src/program/fleet_log.cpp
+++ b/src/program/fleet_log.cpp
@@ -57,12 +57,12 @@
        {{"servers", static_cast<double>(count)}});
 }
 
-void FleetLog::reset_statuses(std::size_t slot_count) { statuses_.assign(slot_count, MemberStatus::gone); }
+void FleetLog::reset_statuses(std::size_t slot_count) { statuses_.assign(slot_count, std::nullopt); }
 
 void FleetLog::update_status(membership::PeerIndex peer, const std::string& name, MemberStatus status) {
   const auto old_status = std::exchange(statuses_[membership::slot(peer)], status);
-  if (old_status == status) return;
-  const auto old_name = name_of(old_status);
+  if (old_status.value_or(MemberStatus::gone) == status) return;
+  const auto old_name = old_status ? name_of(*old_status) : "unknown";
   const auto new_name = name_of(status);
   log_(
       Level::info,
--- a/src/program/fleet_log.hpp
+++ b/src/program/fleet_log.hpp
@@ -4,6 +4,7 @@
 
 #include <array>
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -28,8 +29,9 @@
   void bind_failed(const transport::Address& address, const std::string& reason);
   void ejected_servers(std::size_t count) const;
 
-  // All members are logged as gone until update_status() says otherwise. `slot_count`: slots of peers.
+  // Forgets the statuses. `slot_count`: slots of peers.
   void reset_statuses(std::size_t slot_count);
+  // Logs a change, and the first status unless it is gone.
   void update_status(membership::PeerIndex peer, const std::string& name, membership::MemberStatus status);
   // Whether the limits are in force, without a line in the log.
   void set_limits_in_force(bool in_force) { limits_in_force_ = in_force; }
@@ -44,7 +46,7 @@
   proxy::Logger log_;
   bool limits_in_force_ = true;
   std::string bind_error_;
-  std::vector<membership::MemberStatus> statuses_;  // by peer
+  std::vector<std::optional<membership::MemberStatus>> statuses_;  // by peer; no value: not updated yet
   DropCounts drops_{};
 };
 
