--- a/src/admin/commands.cpp
+++ b/src/admin/commands.cpp
@@ -19,6 +19,7 @@
                                     CommandSyntax{"OFFLINE", Command::Kind::offline, true},
                                     CommandSyntax{"ONLINE", Command::Kind::online, true}};
 
+// Kinds of metrics, as DUMP sends them.
 constexpr char counter = 'c';
 constexpr char gauge = 'g';
 
@@ -37,17 +38,17 @@
   append_metric(text, name, std::to_string(value), kind);
 }
 
-void append_outcomes(std::string& text, const std::string& prefix, const proxy::OutcomeCounters& calls) {
-  append_metric(text, prefix + "success", calls.success, counter);
-  append_metric(text, prefix + "busy", calls.rejected, counter);
-  append_metric(text, prefix + "failure", calls.failure, counter);
+void append_outcomes(std::string& text, const std::string& prefix, const proxy::OutcomeCounters& outcomes) {
+  append_metric(text, prefix + "success", outcomes.success, counter);
+  append_metric(text, prefix + "busy", outcomes.rejected, counter);
+  append_metric(text, prefix + "failure", outcomes.failure, counter);
   for (std::size_t i = 1; i < reason_count; ++i) {
-    if (calls.reasons[i] == 0) continue;
-    append_metric(text, prefix + "rejected." + std::string(reason_names[i]), calls.reasons[i], counter);
+    if (outcomes.reasons[i] == 0) continue;
+    append_metric(text, prefix + "rejected." + std::string(reason_names[i]), outcomes.reasons[i], counter);
   }
 }
 
-// Ten significant digits: counters of a fleet stay whole numbers up to 10^10.
+// Prints ten significant digits, so that counters of a fleet stay whole numbers up to 10^10.
 std::string format_number(double value) {
   std::array<char, 32> text{};
   std::snprintf(text.data(), text.size(), "%.10g", value);
@@ -90,14 +91,14 @@
 }
 
 std::string format_metrics(const proxy::Metrics& metrics) {
-  const auto& calls = metrics.calls;
-  const auto classes = std::min(metrics.request_classes.size(), calls.request_classes.size());
+  const auto& requests = metrics.calls;
+  const auto classes = std::min(metrics.request_classes.size(), requests.request_classes.size());
   std::string text;
   for (std::size_t i = 0; i < classes; ++i)
-    append_outcomes(text, "calls." + metrics.request_classes[i] + ".", calls.request_classes[i]);
-  append_outcomes(text, "", calls.all);
+    append_outcomes(text, "calls." + metrics.request_classes[i] + ".", requests.request_classes[i]);
+  append_outcomes(text, "", requests.all);
   append_metric(text, "backend_calls", metrics.attempts, counter);
-  append_metric(text, "inflight", calls.in_flight, gauge);
+  append_metric(text, "inflight", requests.in_flight, gauge);
   append_metric(text, "hosts_listed", metrics.listed, gauge);
   append_metric(text, "hosts_down", metrics.down, gauge);
   append_metric(text, "reconfig_ok", metrics.reloads, counter);
--- a/src/admin/commands.hpp
+++ b/src/admin/commands.hpp
@@ -1,4 +1,4 @@
-// The text of the admin protocol: parses one command line, formats the figures. Values only, no I/O.
+// The text of the admin protocol: parses one command line, formats the metrics. Values only, no I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace meadowgauge::admin {
 
-// The longest command line that is read, in bytes without its end of line.
+// In bytes, without the end of line.
 inline constexpr std::size_t max_command_length = 256;
 
 // One command of an operator.
@@ -31,12 +31,12 @@
 // The error in a few words, as the protocol sends it after `fail`.
 std::string_view describe(CommandError error);
 
-// Parses `line`, which comes without its `\n`; one `\r` and spaces at its end are ignored. Names of commands
+// Parses `line`, given without its `\n`; one `\r` and spaces at its end are ignored. Names of commands
 // are in upper case.
 std::variant<Command, CommandError> parse_command(std::string_view line);
 
-// The figures as `DUMP` sends them: `balancer.NAME:VALUE|KIND`, one a line (kind c: counter, g: gauge), then
-// a line `eof`.
+// The metrics as `DUMP` sends them: `balancer.NAME:VALUE|KIND`, one per line (kind c: counter, g: gauge),
+// then a line `eof`.
 std::string format_metrics(const proxy::Metrics& metrics);
 
 }  // namespace meadowgauge::admin
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-// A person's tool or a script sends its line at once and reads the reply.
+// A script or tool sends its line at once and reads the reply within this time.
 constexpr double command_timeout_ms = 2000;
 constexpr double reply_timeout_ms = 2000;
-// Bytes after the command are read and dropped up to this much: left unread, they would reset the connection
-// before the reply is read.
+// Bytes after the command are read and discarded up to this limit: unread bytes would reset the connection
+// before the client has read the reply.
 constexpr std::size_t max_discarded_bytes = 65536;
-// Of each connection: one to read into, and enough for the longest reply.
+// Per connection: one to read into, and enough for the largest reply.
 constexpr std::size_t buffers_per_connection = 8;
-// A command may end in `\r\n`.
+// Bytes; a command may end in `\r\n`.
 constexpr std::size_t line_end_length = 2;
 
 }  // namespace
@@ -34,7 +34,7 @@
   bool answered = false;  // the command was received and its reply queued
   std::size_t discarded_bytes = 0;
   double deadline_ms = 0;
-  double reply_at_ms = 0;  // the reply is held back until then; 0: it is not
+  double reply_at_ms = 0;  // the reply is delayed until then; 0: no delay
 };
 
 Server::Server(transport::Loop& loop, const transport::Address& address, CommandHandler& handler)
@@ -57,7 +57,7 @@
   }
 }
 
-// One that has sent no command goes before one that waits for its reply.
+// Closes connections without a command first, then those that wait for a reply; each by age.
 void Server::close_oldest() {
   const auto oldest =
       std::min_element(connections_.begin(), connections_.end(), [](const auto& a, const auto& b) {
@@ -72,7 +72,7 @@
     if (result == Stream::Got::nothing) break;
     if (result == Stream::Got::broken) return close(connection);
     if (result == Stream::Got::end) {
-      if (!connection.answered) return close(connection);  // a command cut short is not carried out
+      if (!connection.answered) return close(connection);  // an incomplete command is not executed
       break;
     }
     if (!connection.answered) {
@@ -88,7 +88,7 @@
   flush(connection);
 }
 
-// Takes what was read; queues the reply once the line is complete or too long.
+// Appends the bytes read to the line; queues the reply once the line is complete or too long.
 void Server::receive_command(Connection& connection) {
   const auto bytes = connection.stream.bytes();
   auto& line = connection.line;
@@ -126,7 +126,7 @@
 
 std::string Server::drain(Connection& connection, const Command& command) {
   const auto result = handler_.set_offline(command.server_id, command.kind == Command::Kind::offline);
-  // Operators' scripts know one wording for both reasons.
+  // Operators' scripts rely on one reply for both reasons.
   if (result.status != DrainResult::Status::accepted) return "fail no server " + command.server_id + "\n";
   if (result.effective_after_ms > 0) connection.reply_at_ms = clock_.now() + result.effective_after_ms;
   return "ok\n";
@@ -141,7 +141,7 @@
 void Server::tick() {
   closed_.clear();
   const double now_ms = clock_.now();
-  std::vector<Connection*> all;  // closing takes from connections_
+  std::vector<Connection*> all;  // a copy, because close() erases from connections_
   all.reserve(connections_.size());
   for (auto& [id, connection] : connections_) all.push_back(connection.get());
   for (auto* connection : all) {
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -1,5 +1,5 @@
 // The admin server: operators connect to an address of their own, send one command line and read its reply.
-// It owns the listener and the connections; what a command does is decided by its CommandHandler.
+// It owns the listener and the connections; its CommandHandler executes the commands.
 #pragma once
 
 #include <cstdint>
@@ -21,11 +21,11 @@
 struct DrainResult {
   enum class Status : std::uint8_t { accepted, unknown_server, too_many_drained };
   Status status = Status::accepted;
-  // The change holds in all processes of this balancer after this time; the reply is held back until then.
+  // All processes of this balancer apply the change within this time; the reply is delayed until then.
   double effective_after_ms = 0;
 };
 
-// Carries commands out. Called within a turn of the event loop; must not block.
+// Executes commands. Called within a turn of the event loop; must not block.
 class CommandHandler {
  public:
   CommandHandler() = default;
@@ -34,7 +34,7 @@
 
   // Whether the balancer accepts requests.
   [[nodiscard]] virtual bool ready() = 0;
-  // The figures as of now.
+  // The current metrics.
   [[nodiscard]] virtual proxy::Metrics metrics() = 0;
   // Takes the server out of use (`offline`) or puts it back.
   virtual DrainResult set_offline(const std::string& server_id, bool offline) = 0;
@@ -43,22 +43,21 @@
   ~CommandHandler() = default;
 };
 
-// One command a connection, which ends after the reply or at its deadline. Owns both listener and
-// connections.
+// Serves one command per connection, which ends after the reply or at its deadline.
 class Server final : transport::Ready {
  public:
-  // One connection more closes the oldest, those that were answered last of all.
+  // A further connection closes the oldest one without a command, else the oldest one.
   static constexpr std::size_t max_connections = 16;
 
-  // `loop` and `handler` outlive the server. Throws std::system_error where `address` can't be listened on.
+  // `loop` and `handler` outlive the server. Throws std::system_error where it cannot listen on `address`.
   Server(transport::Loop& loop, const transport::Address& address, CommandHandler& handler);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  // The address as bound, with the port that the system chose where 0 was asked for.
+  // The bound address, with the port that the system chose for port 0.
   [[nodiscard]] transport::Address address() const { return listener_.address(); }
-  // Sends replies whose delay is over and closes connections past their deadline. Called periodically.
+  // Sends delayed replies that are due and closes connections past their deadline. Called periodically.
   void tick();
 
  private:
@@ -75,11 +74,11 @@
   transport::Loop& loop_;
   CommandHandler& handler_;
   transport::Clock clock_;
-  transport::Pool pool_;  // its own, so that clients of the proxy can't exhaust it
+  transport::Pool pool_;  // separate, so that clients of the proxy cannot exhaust it
   transport::Listener listener_;
   std::uint64_t next_id_ = 1;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  // Closed, and freed in the next tick: the caller up the stack may still use the stream.
+  // Closed connections, freed in the next tick: a caller up the stack may still use the stream.
   std::vector<std::unique_ptr<Connection>> closed_;
 };
 
