--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -44,11 +44,11 @@
   if (bytes.size() < batch_header_size) throw FrameError(FrameFault::short_header);
   count_ = load<std::uint32_t>(bytes.data());
   now_ms_ = load<double>(bytes.data() + clock_offset);
-  // Written so that a clock that is not a number is refused too.
+  // The negated comparison rejects NaN too.
   if (!(std::abs(now_ms_) < max_clock_ms)) throw FrameError(FrameFault::impossible_clock);
   if (load<std::uint32_t>(bytes.data() + frame_size_offset) != bytes.size())
     throw FrameError(FrameFault::length_mismatch);
-  // Divided, not multiplied: the count is the sender's and may overflow.
+  // Divides, because the sender's count times the record size may overflow.
   if (count_ > (bytes.size() - batch_header_size) / event_size) throw FrameError(FrameFault::record_count);
   records_ = bytes.data() + batch_header_size;
   const auto tail_start = batch_header_size + count_ * event_size;
--- a/src/simulator_adapter/codec.hpp
+++ b/src/simulator_adapter/codec.hpp
@@ -22,14 +22,14 @@
 inline constexpr std::size_t event_size = 48;
 inline constexpr std::size_t action_size = 24;
 inline constexpr std::size_t endpoint_entry_size = 22;
-// Where a frame's own size stands in its header.
+// The offset of a frame's size in its header.
 inline constexpr std::size_t frame_size_offset = 4;
 inline constexpr std::size_t max_batch_size = std::size_t{1} << 28;
 
-// A clock beyond this, either way, is a damaged frame.
+// A frame with a clock beyond this, positive or negative, is damaged.
 inline constexpr double max_clock_ms = 1e15;
 
-// Codes of the records in a batch; the wire's own name where it is another one.
+// Codes of the records in a batch. Comments: the wire's name where it differs.
 enum class EventCode : std::uint8_t {
   request_arrived = 1,  // Knock
   attempt_started,      // Begun
@@ -62,7 +62,7 @@
   select_instance     // By
 };
 
-// What is wrong with a frame.
+// Why a frame is rejected.
 enum class FrameFault : std::uint8_t {
   short_header,
   impossible_clock,
@@ -75,10 +75,10 @@
   unknown_endpoint_list
 };
 
-// The fault in a few words, for the log.
+// The text for the log.
 std::string_view describe(FrameFault fault);
 
-// A frame that can't be what the simulator meant. The adapter can't find the next frame after it, so it ends.
+// A damaged frame. The adapter cannot find the start of the next frame, so it exits.
 class FrameError : public std::runtime_error {
  public:
   explicit FrameError(FrameFault fault) : std::runtime_error(std::string(describe(fault))), fault_(fault) {}
@@ -111,12 +111,12 @@
  public:
   // Throws FrameError.
   explicit Batch(std::span<const char> bytes);
-  // How many records there are.
+  // The count of records.
   [[nodiscard]] std::size_t size() const { return count_; }
   // The simulator's clock for all records of the batch, in milliseconds.
   [[nodiscard]] double now_ms() const { return now_ms_; }
   [[nodiscard]] Record operator[](std::size_t i) const { return {records_ + i * event_size}; }
-  // `length` items of `width` bytes from byte `start` of the tail. Throws FrameError where they leave it.
+  // `length` items of `width` bytes from byte `start` of the tail. Throws FrameError if they exceed it.
   [[nodiscard]] std::string_view tail(std::uint32_t start, std::uint32_t length, std::size_t width = 1) const;
 
  private:
@@ -131,10 +131,10 @@
  public:
   // Begins an empty reply. The selected instance stays selected.
   void clear();
-  // The actions that follow are of this instance; written into the reply only before the first of them.
+  // The following actions belong to this instance; its record is written only before the first of them.
   void select_instance(std::uint16_t instance) { selected_ = instance; }
   void forward_request(std::uint64_t request, std::uint32_t upstream, double max_wait_ms);
-  // The client may come again after `retry_after_ms`.
+  // The client may retry after `retry_after_ms`.
   void reject_request(std::uint64_t request, double retry_after_ms);
   // The request has failed.
   void drop_request(std::uint64_t request);
@@ -145,17 +145,17 @@
   void log_line(std::string_view text);
   // An error of the adapter itself.
   void report_fault(std::string_view text);
-  // `bytes` as another instance receives them in its gossip event.
+  // The other instance receives `bytes` unchanged in its gossip event.
   void send_gossip(std::uint16_t peer, std::string_view bytes);
-  // Whether endpoint updates are to be sent unasked.
+  // Turns unsolicited endpoint updates on or off.
   void subscribe(bool active);
-  // One endpoint update, once.
+  // Requests a single endpoint update.
   void request_endpoints();
   // The finished frame; valid until the next change.
   std::string_view frame();
 
  private:
-  // Where a text stands in the tail.
+  // A text's range in the tail.
   struct TailSpan {
     std::uint32_t start;
     std::uint32_t length;
--- a/src/simulator_adapter/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -22,7 +22,7 @@
   return reply_.frame();
 }
 
-// Events of the host itself; all others are for the selected instance.
+// Handles the host's own events; all others go to the selected instance.
 void Host::handle_event(const Batch& batch, Record record) {
   switch (static_cast<EventCode>(record.code())) {
     case EventCode::select_instance:
@@ -49,7 +49,7 @@
     std::fprintf(stderr, "meadowgauge-simulator-adapter: unknown event code %d skipped\n", record.code());
     return;
   }
-  // Events on their way to an instance that was stopped are late, not wrong.
+  // Events for a stopped instance were in transit when it stopped, so they are ignored.
   const auto it = selected_ ? instances_.find(*selected_) : instances_.end();
   if (it == instances_.end()) return;
   auto& instance = it->second;
@@ -74,7 +74,7 @@
     case EventCode::endpoint_update:
       return update_endpoints(instance, record, now_ms);
     default:
-      return;  // of the host itself, handled before
+      return;  // the host's own events, handled in handle_event()
   }
 }
 
--- a/src/simulator_adapter/host.hpp
+++ b/src/simulator_adapter/host.hpp
@@ -1,4 +1,4 @@
-// Many simulated balancers in one process: gives each event of a batch to the instance that it is for.
+// Many simulated balancers in one process: dispatches each event of a batch to its instance.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
   Host& operator=(const Host&) = delete;
 
   // Handles all events of a batch in their order. Returns the reply frame, valid until the next call. Throws
-  // FrameError where the batch makes no sense; any other error of an instance becomes an action of the reply.
+  // FrameError for a damaged batch; any other error of an instance becomes an action of the reply.
   std::string_view handle(const Batch& batch);
 
  private:
--- a/src/simulator_adapter/instance.hpp
+++ b/src/simulator_adapter/instance.hpp
@@ -1,5 +1,5 @@
 // One simulated balancer: its decision module, its request table and its timers. Events come in as typed
-// messages; what the module answers goes out as actions of the reply. Decides nothing.
+// messages; the module's decisions become actions of the reply.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace meadowgauge::simulator_adapter {
 
-// Times are of the simulator's clock, in milliseconds. The caller selects the instance in the reply before
+// Times are in milliseconds of the simulator's clock. The caller selects the instance in the reply before
 // each call.
 class Instance final : proxy::RequestActions {
  public:
@@ -25,14 +25,15 @@
   void attempt_started(const AttemptStarted& message, double now_ms);
   void attempt_ended(const AttemptEnded& message, double now_ms);
   void client_gone(proxy::RequestNumber number, double now_ms);
-  // Of no effect for an upstream that no list has named.
+  // Ignored for an upstream that no list has named.
   void probe_done(const ProbeDone& message, double now_ms);
-  // Bytes that are torn or of another version are ignored.
+  // Damaged bytes and bytes of another version are ignored.
   void gossip_received(std::string_view gossip, double now_ms);
-  // `entries`: the bytes of the list that the update names, empty where it names none.
+  // `entries`: the bytes of the list that the update refers to, empty without one.
   void endpoints_updated(const EndpointUpdate& update, std::string_view entries, double now_ms);
   void timer_expired(std::uint32_t nonce, double now_ms);
-  // Before the reply ends: sets the timer of the next due time, if that is sooner than the one that runs.
+  // Sets a timer for the next due time if that is sooner than the running timer. To be called last in a
+  // batch.
   void update_timer(double now_ms);
 
  private:
@@ -44,9 +45,9 @@
   void probe(EndpointIndex endpoint) override { reply_.probe(upstreams_[position_of(endpoint)]); }
 
   void run_periodic_actions(double now_ms);
-  // The module's index of a simulated upstream; given at its first mention, and kept.
+  // The module's index of a simulated upstream; assigned at its first mention.
   EndpointIndex endpoint_index(std::uint32_t upstream);
-  // The simulator's number of the endpoint, for the log; empty where there is none.
+  // The simulator's number of the endpoint, for the log; empty for no_endpoint.
   [[nodiscard]] std::string upstream_name(EndpointIndex endpoint) const;
 
   Policy policy_;
@@ -55,9 +56,9 @@
   Reply& reply_;
   std::unordered_map<std::uint32_t, EndpointIndex> endpoint_by_upstream_;
   std::vector<std::uint32_t> upstreams_;  // by endpoint index
-  double timer_at_ms_ = never;            // of the timer that runs for due times
-  std::uint32_t timer_nonce_ = 1;         // never that of the periodic timer
-  std::vector<EndpointEntry> entries_;    // kept for its capacity
+  double timer_at_ms_ = never;            // expiry of the running timer for due times
+  std::uint32_t timer_nonce_ = 1;         // never equal to the periodic timer's
+  std::vector<EndpointEntry> entries_;    // a member to reuse its capacity
 };
 
 }  // namespace meadowgauge::simulator_adapter
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
 // meadowgauge-simulator-adapter: reads batches of events from standard input, writes a reply to each to
-// standard output. Ends with status 0 at the end of input, 1 where input makes no sense or the reply can't be
+// standard output. Exits with status 0 at the end of input, 1 for damaged input or where the reply cannot be
 // written.
 #include <cstdio>
 #include <exception>
@@ -14,7 +14,7 @@
 
 using namespace meadowgauge::simulator_adapter;
 
-// Fills the whole of `into`. False: input has ended, and `may_end` allowed it before the first byte.
+// Fills all of `into`. False: input ended before the first byte, which `may_end` allows.
 bool read_exactly(std::span<char> into, bool may_end) {
   const auto size = std::fread(into.data(), 1, into.size(), stdin);
   if (size == 0 && may_end && std::feof(stdin) != 0) return false;
@@ -22,7 +22,7 @@
   return true;
 }
 
-// The next whole batch into `bytes`. False: input has ended.
+// Reads the next batch into `bytes`. False: input has ended.
 bool read_batch(std::vector<char>& bytes) {
   bytes.resize(batch_header_size);
   if (!read_exactly(bytes, true)) return false;
--- a/src/simulator_adapter/wire_messages.cpp
+++ b/src/simulator_adapter/wire_messages.cpp
@@ -24,7 +24,7 @@
 constexpr unsigned has_work_hint = 1;
 constexpr unsigned is_client_retry = 2;
 
-// An outcome that is not known proves nothing: an error.
+// Unknown outcomes count as errors.
 Outcome outcome_of(std::uint16_t code) {
   const auto* known = std::find_if(outcome_codes.begin(), outcome_codes.end(),
                                    [code](const auto& entry) { return entry.code == code; });
--- a/src/simulator_adapter/wire_messages.hpp
+++ b/src/simulator_adapter/wire_messages.hpp
@@ -1,6 +1,5 @@
-// Records of the simulator's wire as typed messages: the one place that knows at which offset a field stands
-// and which code stands for which outcome or state. Every function is total: a code that is not known has a
-// meaning.
+// Records of the simulator's wire as typed messages. Field offsets and the codes of outcomes and states are
+// known here only. Every function is total: unknown codes have a defined meaning.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +12,25 @@
 
 namespace meadowgauge::simulator_adapter {
 
-// Where bytes stand in the tail of a batch: `length` items from byte `start`.
+// A range in the tail of a batch: `length` items from byte `start`.
 struct TailRef {
   std::uint32_t start = 0;
   std::uint32_t length = 0;
 };
 
-// An instance is to run from now on, in place of one under the same number.
+// Starts an instance; replaces an instance with the same number.
 struct StartInstance {
   std::uint64_t seed = 0;
   TailRef settings;
 };
 
-// A list of endpoints, kept under a number for the updates that name it.
+// A list of endpoints, kept under its number until updates refer to it.
 struct EndpointListMessage {
   std::uint16_t list = 0;
   TailRef entries;
 };
 
-// What an instance learns of the endpoint list. Kinds beyond those of EndpointListUpdate are ignored.
+// An update of an instance's endpoint list. Kinds beyond those of EndpointListUpdate are ignored.
 struct EndpointUpdate {
   std::uint8_t kind = 0;
   std::uint16_t list = 0;
@@ -73,16 +72,16 @@
 AttemptStarted read_attempt_started(Record record);
 AttemptEnded read_attempt_ended(Record record);
 ProbeDone read_probe_done(Record record);
-// The request that a client no longer waits for.
+// The request whose client has disconnected.
 proxy::RequestNumber read_client_gone(Record record);
-// Gossip of another instance, as it was sent.
+// Where the bytes of another instance's gossip are.
 TailRef read_gossip(Record record);
-// The nonce of a timer that ran out.
+// The nonce of an expired timer.
 std::uint32_t read_timer(Record record);
-// The instance that the records after this one are for.
+// The instance that the following records are for.
 std::uint16_t read_select_instance(Record record);
 
-// Appends the entries of a list; each one's `endpoint` is for the caller to set. Bytes after the last whole
+// Appends the entries of a list; the caller sets each entry's `endpoint`. Bytes after the last whole
 // entry are ignored.
 void read_endpoint_entries(std::string_view bytes, std::vector<EndpointEntry>& entries);
 
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -112,7 +112,7 @@
   EXPECT_EQ(probe.load_report.values[3], 4.0F);
 }
 
-TEST(Host, EventsForNoInstanceAreLateAndListsThatWereNotSentAreFaults) {
+TEST(Host, LateEventsAreIgnoredUnknownListsAreFaults) {
   Host host;
   const std::string settings = "stage=0\n";
   auto select = record(EventCode::select_instance, std::uint16_t{3});
