--- a/src/program/check.cpp
+++ b/src/program/check.cpp
@@ -27,7 +27,7 @@
   std::stable_sort(problems.begin(), problems.end(), [](const auto& a, const auto& b) {
     return std::pair(a.line, a.column) < std::pair(b.line, b.column);
   });
-  for (const auto& problem : problems) std::cerr << settings::worded(file, problem) << '\n';
+  for (const auto& problem : problems) std::cerr << settings::format_problem(file, problem) << '\n';
 }
 
 int check_operator_file(const std::string& file) {
--- a/src/program/operator_file.cpp
+++ b/src/program/operator_file.cpp
@@ -302,7 +302,7 @@
 proxy::Setup read_operator_file(const std::string& path, std::uint64_t seed) {
   std::vector<Problem> problems;
   auto setup = read_operator_file(settings::read_file(path), seed, problems);
-  settings::none_or_throw(path, std::move(problems));
+  settings::throw_first_problem(path, std::move(problems));
   return setup;
 }
 
--- a/src/settings/tree.cpp
+++ b/src/settings/tree.cpp
@@ -10,70 +10,71 @@
 namespace meadowgauge::settings {
 namespace {
 
-Node converted(const toml::node& n) {
-  Node out;
-  out.line = n.source().begin.line;
-  out.column = n.source().begin.column;
-  if (const auto* t = n.as_table()) {
-    Node::Table all;
-    for (const auto& [key, v] : *t) {
-      auto& [name, child] = all.emplace_back(std::string(key.str()), converted(v));
-      // Problems are told at the key, not at the value behind it.
+Node converted(const toml::node& node) {
+  Node result;
+  result.line = node.source().begin.line;
+  result.column = node.source().begin.column;
+  if (const auto* entries = node.as_table()) {
+    Node::Table children;
+    for (const auto& [key, value] : *entries) {
+      auto& [name, child] = children.emplace_back(std::string(key.str()), converted(value));
+      // Problems name the position of the key, not of its value.
       if (key.source().begin.line > 0) {
         child.line = key.source().begin.line;
         child.column = key.source().begin.column;
       }
     }
-    std::stable_sort(all.begin(), all.end(), [](const auto& a, const auto& b) {
+    std::stable_sort(children.begin(), children.end(), [](const auto& a, const auto& b) {
       return std::pair(a.second.line, a.second.column) < std::pair(b.second.line, b.second.column);
     });
-    out.value = std::move(all);
-  } else if (const auto* l = n.as_array()) {
-    Node::List all;
-    for (const auto& v : *l) all.push_back(converted(v));
-    out.value = std::move(all);
-  } else if (auto text = n.value_exact<std::string>()) {
-    out.value = *text;
-  } else if (auto whole = n.value_exact<std::int64_t>()) {
-    out.value = *whole;
-  } else if (auto real = n.value_exact<double>()) {
-    out.value = *real;
-  } else if (auto truth = n.value_exact<bool>()) {
-    out.value = *truth;
-  } else {  // dates and times: no key of ours holds one, so any reader calls it a wrong kind
-    out.value = Node::List{};
+    result.value = std::move(children);
+  } else if (const auto* list = node.as_array()) {
+    Node::List items;
+    for (const auto& item : *list) items.push_back(converted(item));
+    result.value = std::move(items);
+  } else if (auto text = node.value_exact<std::string>()) {
+    result.value = *text;
+  } else if (auto whole = node.value_exact<std::int64_t>()) {
+    result.value = *whole;
+  } else if (auto real = node.value_exact<double>()) {
+    result.value = *real;
+  } else if (auto truth = node.value_exact<bool>()) {
+    result.value = *truth;
+  } else {  // dates and times: no key takes one, so each reader reports a wrong type
+    result.value = Node::List{};
   }
-  return out;
+  return result;
 }
 
-std::string bound(double v) {
-  std::ostringstream s;
-  s << v;
-  return s.str();
+std::string format_bound(double bound) {
+  std::ostringstream text;
+  text << bound;
+  return text.str();
 }
 
 }  // namespace
 
-std::string worded(const std::string& file, const Problem& p) {
-  if (p.line == 0) return file + ": " + p.text;
-  return file + ":" + std::to_string(p.line) + ":" + std::to_string(p.column) + ": " + p.text;
+std::string format_problem(const std::string& file, const Problem& problem) {
+  if (problem.line == 0) return file + ": " + problem.text;
+  return file + ":" + std::to_string(problem.line) + ":" + std::to_string(problem.column) + ": " +
+         problem.text;
 }
 
 Node read_text(std::string_view text, const std::string& name) {
   try {
     return converted(toml::parse(text, name));
-  } catch (const toml::parse_error& e) {
-    throw BadFile(worded(name, {std::string(e.description()), e.source().begin.line,
-                                static_cast<std::uint32_t>(e.source().begin.column)}));
+  } catch (const toml::parse_error& error) {
+    throw BadFile(format_problem(name, {std::string(error.description()), error.source().begin.line,
+                                        static_cast<std::uint32_t>(error.source().begin.column)}));
   }
 }
 
 Node read_file(const std::string& path) {
   try {
     return converted(toml::parse_file(path));
-  } catch (const toml::parse_error& e) {
-    throw BadFile(worded(path, {std::string(e.description()), e.source().begin.line,
-                                static_cast<std::uint32_t>(e.source().begin.column)}));
+  } catch (const toml::parse_error& error) {
+    throw BadFile(format_problem(path, {std::string(error.description()), error.source().begin.line,
+                                        static_cast<std::uint32_t>(error.source().begin.column)}));
   }
 }
 
@@ -92,121 +93,124 @@
 
 const Node* Reader::take(std::string_view key) {
   known_.emplace_back(key);
-  const auto* t = std::get_if<Node::Table>(&node_->value);
-  if (!t) return nullptr;
-  for (const auto& [name, child] : *t)
+  const auto* entries = std::get_if<Node::Table>(&node_->value);
+  if (!entries) return nullptr;
+  for (const auto& [name, child] : *entries)
     if (name == key) return &child;
   return nullptr;
 }
 
 bool Reader::has(std::string_view key) const {
-  const auto* t = std::get_if<Node::Table>(&node_->value);
-  return t != nullptr && std::any_of(t->begin(), t->end(), [&](const auto& c) { return c.first == key; });
+  const auto* entries = std::get_if<Node::Table>(&node_->value);
+  return entries != nullptr &&
+         std::any_of(entries->begin(), entries->end(), [&](const auto& c) { return c.first == key; });
 }
 
 const Node& Reader::below(std::string_view key) {
   static const Node empty{Node::Table{}, 0, 0};
-  const auto* n = take(key);
-  return n ? *n : empty;
+  const auto* node = take(key);
+  return node ? *node : empty;
 }
 
 const Node::List* Reader::list_of(std::string_view key) {
-  const auto* n = take(key);
-  if (!n) return nullptr;
-  const auto* l = std::get_if<Node::List>(&n->value);
-  if (!l) problem(*n, name_of(key) + " is no list of tables");
-  return l;
+  const auto* node = take(key);
+  if (!node) return nullptr;
+  const auto* list = std::get_if<Node::List>(&node->value);
+  if (!list) problem(*node, name_of(key) + " is no list of tables");
+  return list;
 }
 
 void Reader::get(std::string_view key, std::string& into) {
-  const auto* n = take(key);
-  if (!n) return;
-  if (const auto* s = std::get_if<std::string>(&n->value))
+  const auto* node = take(key);
+  if (!node) return;
+  if (const auto* s = std::get_if<std::string>(&node->value))
     into = *s;
   else
-    problem(*n, name_of(key) + " is no text");
+    problem(*node, name_of(key) + " is no text");
 }
 
 void Reader::get(std::string_view key, bool& into) {
-  const auto* n = take(key);
-  if (!n) return;
-  if (const auto* b = std::get_if<bool>(&n->value))
+  const auto* node = take(key);
+  if (!node) return;
+  if (const auto* b = std::get_if<bool>(&node->value))
     into = *b;
   else
-    problem(*n, name_of(key) + " is neither true nor false");
-}
-
-void Reader::get(std::string_view key, double& into, double least, double most) {
-  const auto* n = take(key);
-  if (!n) return;
-  double v = std::nan("");
-  if (const auto* d = std::get_if<double>(&n->value)) v = *d;
-  if (const auto* i = std::get_if<std::int64_t>(&n->value)) v = static_cast<double>(*i);
-  if (std::isnan(v))
-    problem(*n, name_of(key) + " is no number");
-  else if (v < least || v > most)
-    problem(*n, name_of(key) + " is not between " + bound(least) + " and " + bound(most));
+    problem(*node, name_of(key) + " is neither true nor false");
+}
+
+void Reader::get(std::string_view key, double& into, double min_value, double max_value) {
+  const auto* node = take(key);
+  if (!node) return;
+  double value = std::nan("");
+  if (const auto* d = std::get_if<double>(&node->value)) value = *d;
+  if (const auto* i = std::get_if<std::int64_t>(&node->value)) value = static_cast<double>(*i);
+  if (std::isnan(value))
+    problem(*node, name_of(key) + " is no number");
+  else if (value < min_value || value > max_value)
+    problem(*node,
+            name_of(key) + " is not between " + format_bound(min_value) + " and " + format_bound(max_value));
   else
-    into = v;
+    into = value;
 }
 
-void Reader::get(std::string_view key, int& into, int least, int most) {
-  const auto* n = take(key);
-  if (!n) return;
-  const auto* i = std::get_if<std::int64_t>(&n->value);
+void Reader::get(std::string_view key, int& into, int min_value, int max_value) {
+  const auto* node = take(key);
+  if (!node) return;
+  const auto* i = std::get_if<std::int64_t>(&node->value);
   if (!i)
-    problem(*n, name_of(key) + " is no whole number");
-  else if (*i < least || *i > most)
-    problem(*n, name_of(key) + " is not between " + std::to_string(least) + " and " + std::to_string(most));
+    problem(*node, name_of(key) + " is no whole number");
+  else if (*i < min_value || *i > max_value)
+    problem(*node, name_of(key) + " is not between " + std::to_string(min_value) + " and " +
+                       std::to_string(max_value));
   else
     into = static_cast<int>(*i);
 }
 
 void Reader::get(std::string_view key, std::uint64_t& into) {
-  const auto* n = take(key);
-  if (!n) return;
-  if (const auto* i = std::get_if<std::int64_t>(&n->value); i && *i >= 0) {
+  const auto* node = take(key);
+  if (!node) return;
+  if (const auto* i = std::get_if<std::int64_t>(&node->value); i && *i >= 0) {
     into = static_cast<std::uint64_t>(*i);
     return;
   }
-  if (const auto* s = std::get_if<std::string>(&n->value)) {
+  if (const auto* s = std::get_if<std::string>(&node->value)) {
     auto [end, bad] = std::from_chars(s->data(), s->data() + s->size(), into, 16);
     if (bad == std::errc{} && end == s->data() + s->size()) return;
   }
-  problem(*n, name_of(key) + " is neither a whole number nor hexadecimal text");
+  problem(*node, name_of(key) + " is neither a whole number nor hexadecimal text");
 }
 
 void Reader::get(std::string_view key, std::vector<std::string>& into) {
-  const auto* n = take(key);
-  if (!n) return;
-  const auto* l = std::get_if<Node::List>(&n->value);
-  if (!l) return problem(*n, name_of(key) + " is no list");
-  std::vector<std::string> all;
-  for (const auto& item : *l) {
+  const auto* node = take(key);
+  if (!node) return;
+  const auto* list = std::get_if<Node::List>(&node->value);
+  if (!list) return problem(*node, name_of(key) + " is no list");
+  std::vector<std::string> texts;
+  for (const auto& item : *list) {
     const auto* s = std::get_if<std::string>(&item.value);
     if (!s) return problem(item, name_of(key) + " holds what is no text");
-    all.push_back(*s);
+    texts.push_back(*s);
   }
-  into = std::move(all);
+  into = std::move(texts);
 }
 
 int Reader::choice_index(std::string_view key, const std::vector<std::string_view>& words) {
-  const auto* n = take(key);
-  if (!n) return -1;
-  std::string all;
-  const auto* s = std::get_if<std::string>(&n->value);
+  const auto* node = take(key);
+  if (!node) return -1;
+  std::string allowed;
+  const auto* s = std::get_if<std::string>(&node->value);
   for (std::size_t i = 0; i < words.size(); ++i) {
     if (s && *s == words[i]) return static_cast<int>(i);
-    all.append(all.empty() ? "" : i + 1 == words.size() ? " or " : ", ").append(words[i]);
+    allowed.append(allowed.empty() ? "" : i + 1 == words.size() ? " or " : ", ").append(words[i]);
   }
-  problem(*n, name_of(key) + " is not " + all);
+  problem(*node, name_of(key) + " is not " + allowed);
   return -1;
 }
 
 void Reader::wrong(std::string_view key, const std::string& text) {
   const Node* at = node_;
-  if (const auto* t = std::get_if<Node::Table>(&node_->value))
-    for (const auto& [name, child] : *t)
+  if (const auto* entries = std::get_if<Node::Table>(&node_->value))
+    for (const auto& [name, child] : *entries)
       if (name == key) at = &child;
   problem(*at, name_of(key) + " " + text);
 }
@@ -220,19 +224,19 @@
 }
 
 void Reader::end() {
-  const auto* t = std::get_if<Node::Table>(&node_->value);
-  if (!t) return;
-  for (const auto& [name, child] : *t)
+  const auto* entries = std::get_if<Node::Table>(&node_->value);
+  if (!entries) return;
+  for (const auto& [name, child] : *entries)
     if (std::find(known_.begin(), known_.end(), name) == known_.end())
       problem(child, name_of(name) + " is not known");
 }
 
-void none_or_throw(const std::string& file, std::vector<Problem> problems) {
+void throw_first_problem(const std::string& file, std::vector<Problem> problems) {
   if (problems.empty()) return;
   std::stable_sort(problems.begin(), problems.end(), [](const Problem& a, const Problem& b) {
     return std::pair(a.line, a.column) < std::pair(b.line, b.column);
   });
-  throw BadFile(worded(file, problems.front()));
+  throw BadFile(format_problem(file, problems.front()));
 }
 
 }  // namespace meadowgauge::settings
--- a/src/settings/tree.hpp
+++ b/src/settings/tree.hpp
@@ -1,5 +1,5 @@
-// An operator's TOML file as a tree that remembers where each value stands and which ones were asked for, so
-// that what nobody asked for can be named. The syntax is toml++'s business.
+// An operator's TOML file as a tree of values with their positions. Readers record which keys were read, so
+// that unknown keys can be reported. toml++ parses the syntax.
 #pragma once
 
 #include <cstdint>
@@ -14,49 +14,52 @@
 
 namespace meadowgauge::settings {
 
-// What is wrong and where; line and column count from 1, 0 where it is about the file as a whole.
+// One error and its position; line and column count from 1, and are 0 for the file as a whole.
 struct Problem {
   std::string text;
-  std::uint32_t line = 0, column = 0;
+  std::uint32_t line = 0;
+  std::uint32_t column = 0;
 };
 
 // `file:line:column: text` or `file: text`.
-std::string worded(const std::string& file, const Problem& p);
+std::string format_problem(const std::string& file, const Problem& problem);
 
-// One line that names file, line, column and key.
+// An invalid file; what() is one line with file, line, column and key.
 struct BadFile : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// A value of the file, with all that is below it and where it stands: a table's entry at its key. Dates and
+// A value of the file with its children and its position: for a table's entry that of its key. Dates and
 // times are read as an empty list, which no key takes.
 class Node {
  public:
   using List = std::vector<Node>;
   using Table = std::vector<std::pair<std::string, Node>>;
   std::variant<std::string, double, std::int64_t, bool, List, Table> value;
-  std::uint32_t line = 0, column = 0;
+  std::uint32_t line = 0;
+  std::uint32_t column = 0;
 };
 
-// Throw BadFile where the file can't be read or is no TOML. `name` stands for the file in messages.
+// Throw BadFile for an unreadable file or invalid TOML. `name` is the file's name in messages.
 Node read_file(const std::string& path);
 Node read_text(std::string_view text, const std::string& name);
 
-// A table being read: each get() marks its key as known; what remains at the end is a problem.
+// Reads a table: each get() marks its key as known; end() reports the other keys as problems.
 class Reader {
  public:
   // Both outlive the reader. `path` is the table's name for messages.
   Reader(const Node& node, std::string path, std::vector<Problem>& problems);
 
-  // Absent keys leave `into` as it is. A wrong kind or a number outside [least, most] is a problem.
+  // An absent key leaves `into` unchanged. A wrong type or a number outside [min_value, max_value] is a
+  // problem.
   void get(std::string_view key, std::string& into);
   void get(std::string_view key, bool& into);
-  void get(std::string_view key, double& into, double least, double most);
-  void get(std::string_view key, int& into, int least, int most);
+  void get(std::string_view key, double& into, double min_value, double max_value);
+  void get(std::string_view key, int& into, int min_value, int max_value);
   void get(std::string_view key, std::uint64_t& into);  // a whole number, or hexadecimal text
   void get(std::string_view key, std::vector<std::string>& into);
-  // Text in the form that T::parse() reads; an empty one is as good as absent. T::description says what it
-  // should have been.
+  // Text that T::parse() accepts; empty text counts as absent. T::description names the expected form in
+  // messages.
   template <class T>
   void get_parsed(std::string_view key, T& into) {
     std::string text;
@@ -76,7 +79,7 @@
 
   // Whether the key is there; does not mark it as known.
   [[nodiscard]] bool has(std::string_view key) const;
-  // A table below, an empty one where it is absent, so that its defaults hold; and each table of a list.
+  // Calls `f` with a child table, empty if absent, so that defaults apply; or with each table of a list.
   template <class F>
   void table(std::string_view key, F&& f) {
     Reader r(below(key), name_of(key), *problems_);
@@ -93,13 +96,13 @@
     }
   }
 
-  // The caller's own check of `key`.
+  // Reports a problem that the caller found with `key`.
   void wrong(std::string_view key, const std::string& text);
-  // The key must be there.
+  // Reports a problem if the key is absent.
   void need(std::string_view key);
-  // The text read from `key` must not stand in `taken`, which it joins; an empty one may.
+  // Reports a problem if `text`, read from `key`, is in `taken`; else adds it. Empty text is ignored.
   void require_unique(std::string_view key, const std::string& text, std::set<std::string>& taken);
-  // Names each key that nobody asked for.
+  // Reports each key that was not read.
   void end();
   [[nodiscard]] const std::string& path() const { return path_; }
 
@@ -117,7 +120,7 @@
   std::vector<std::string> known_;
 };
 
-// Throws BadFile with the first problem by line, if there is one.
-void none_or_throw(const std::string& file, std::vector<Problem> problems);
+// Throws BadFile with the first problem by line, if any.
+void throw_first_problem(const std::string& file, std::vector<Problem> problems);
 
 }  // namespace meadowgauge::settings
--- a/src/testbed/experiment_reader.cpp
+++ b/src/testbed/experiment_reader.cpp
@@ -370,7 +370,7 @@
 Experiment Experiment::read(const std::string& path) {
   std::vector<Problem> problems;
   auto e = read(settings::read_file(path), path, problems);
-  settings::none_or_throw(path, std::move(problems));
+  settings::throw_first_problem(path, std::move(problems));
   return e;
 }
 
--- a/tests/program/operator_test.cpp
+++ b/tests/program/operator_test.cpp
@@ -29,7 +29,7 @@
   std::vector<Problem> problems;
   read_operator_file(settings::read_text(text, "f"), 7, problems);
   std::vector<std::string> lines;
-  for (const auto& p : problems) lines.push_back(settings::worded("f", p));
+  for (const auto& p : problems) lines.push_back(settings::format_problem("f", p));
   return lines;
 }
 
@@ -133,7 +133,7 @@
               std::to_string(i / 250) + "." + std::to_string(i % 250 + 1) + ":9000\"\n";
     std::vector<Problem> problems;
     auto s = read_operator_file(settings::read_text(text, "f"), 7, problems);
-    ASSERT_TRUE(problems.empty()) << settings::worded("f", problems[0]);
+    ASSERT_TRUE(problems.empty()) << settings::format_problem("f", problems[0]);
     ASSERT_TRUE(s.fleet);
     EXPECT_EQ(s.fleet->members.size(), static_cast<std::size_t>(n));
     EXPECT_EQ(s.known.hosts.size(), static_cast<std::size_t>(n));
--- a/tests/testbed/experiment_test.cpp
+++ b/tests/testbed/experiment_test.cpp
@@ -91,7 +91,7 @@
   auto first_problem = [](const std::string& text) {
     std::vector<settings::Problem> problems;
     Experiment::read(settings::read_text(text, "x.toml"), "x.toml", problems);
-    return problems.empty() ? std::string{} : settings::worded("x.toml", problems.front());
+    return problems.empty() ? std::string{} : settings::format_problem("x.toml", problems.front());
   };
   EXPECT_EQ(first_problem(minimal), "");
   EXPECT_EQ(first_problem("secondz = 3\n" + minimal), "x.toml:1:1: secondz is not known");
--- a/tests/testbed/fixtures.hpp
+++ b/tests/testbed/fixtures.hpp
@@ -40,7 +40,7 @@
 inline Experiment experiment(const std::string& text) {
   std::vector<settings::Problem> problems;
   auto e = Experiment::read(settings::read_text(text, "test"), "test", problems);
-  for (const auto& problem : problems) ADD_FAILURE() << settings::worded("test", problem);
+  for (const auto& problem : problems) ADD_FAILURE() << settings::format_problem("test", problem);
   return e;
 }
 
