--- a/tests/e2e/attempt_deadline_test.cpp
+++ b/tests/e2e/attempt_deadline_test.cpp
@@ -1,4 +1,4 @@
-// Attempts whose time is over in the same turn of the event loop in which they would succeed (the program is
+// Attempts whose deadline passes in the turn of the event loop in which they would succeed (the program is
 // paused meanwhile), and responses that never end. Each test is a row of docs/design/endings.md; the test
 // plays the client and the upstream over loopback.
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 namespace meadowgauge::test {
 namespace {
 
-// A response that has arrived when the time is over counts, and there is one.
+// A response received by the deadline counts, and the client gets exactly one.
 TEST(AttemptDeadline, UsesAResponseThatArrivedInTheSameTurn) {
   ProxyProcess proxy(one_upstream(true));
   auto client = proxy.connect();
@@ -33,7 +33,7 @@
   expect_next_request(upstream, request, client);
 }
 
-// A request is not sent where it would be abandoned at once.
+// A request is not sent after its deadline.
 TEST(AttemptDeadline, SendsNothingOverAConnectionEstablishedTooLate) {
   UnresponsiveHost back;
   ProxyProcess proxy(one_upstream(true),
--- a/tests/e2e/body_streaming_test.cpp
+++ b/tests/e2e/body_streaming_test.cpp
@@ -43,8 +43,8 @@
   return text + "0\r\nTrailer: t\r\n\r\n";
 }
 
-// The body of a message that is fed `text` in pieces and drained whenever its buffers are full; `largest`
-// receives the most that was buffered.
+// Feeds `text` in pieces to a message, drains it whenever its buffers are full, and returns its body;
+// `largest` receives the maximum of buffered bytes.
 std::string streamed_body(Message::Kind kind, const std::string& text, std::size_t piece,
                           std::size_t* largest = nullptr) {
   Pool pool(64);
@@ -105,8 +105,8 @@
   }
 }
 
-// Whatever comes, in whatever pieces: the same body, or the same refusal.
-TEST(BodyStreaming, GivesTheSameResultForRandomMessagesHoweverTheyAreSplit) {
+// Random messages in random pieces give the same body or the same rejection.
+TEST(BodyStreaming, RandomMessagesGiveSameResultHoweverSplit) {
   bool same = rc::check("flowing messages", [] {
     auto part = rc::gen::element<std::string>(
         "POST / HTTP/1.1\r\n", "HTTP/1.1 200 OK\r\n", "HTTP/1.0 200 OK\r\n", "Host: b\r\n", "\r\n",
@@ -144,14 +144,14 @@
 
 constexpr std::size_t large_body_size = std::size_t{32} * 1024 * 1024;
 
-TEST(BodyStreaming, PassesALargeRequestInBoundedMemoryAndServesOthersMeanwhile) {
+TEST(BodyStreaming, LargeRequestUsesBoundedMemoryAndBlocksNobody) {
   ProxyProcess proxy({.upstreams = 1});
   auto before = resident_bytes(proxy.pid());
   auto body = random_text(large_body_size);
   auto client = proxy.connect();
   std::thread sender([&] { client.send(http_request("/pay", 9000, body)); });
   auto upstream = proxy.upstreams[0].accept();
-  EXPECT_EQ(proxy.get_status("/-/ready"), 200);  // others are served while this one does not read
+  EXPECT_EQ(proxy.get_status("/-/ready"), 200);  // other clients are served while this one does not read
   auto received = upstream.receive_message();
   sender.join();
   EXPECT_EQ(received.size() - received.find("\r\n\r\n") - 4, large_body_size);
@@ -161,7 +161,7 @@
   EXPECT_EQ(status_of(client.receive_message()), 200);
 }
 
-TEST(BodyStreaming, PassesALargeResponseInBoundedMemoryAndServesOthersMeanwhile) {
+TEST(BodyStreaming, LargeResponseUsesBoundedMemoryAndBlocksNobody) {
   ProxyProcess proxy({.upstreams = 1, .admin_server = true});
   auto before = resident_bytes(proxy.pid());
   auto body = random_text(large_body_size);
@@ -182,7 +182,7 @@
   EXPECT_EQ(proxy.metric("calls.pay.success"), 2);
 }
 
-TEST(BodyStreaming, TruncatesAResponseThatBreaksSoThatTheClientCanTell) {
+TEST(BodyStreaming, BrokenResponseIsDetectablyTruncated) {
   for (std::string how : {"length", "chunks"}) {
     ProxyProcess proxy({.upstreams = 1, .admin_server = true});
     auto client = proxy.connect();
@@ -216,8 +216,8 @@
   upstream.send(ok_response);
 }
 
-// Until its last byte was written a request has not executed, but what was passed on can not be sent again.
-TEST(BodyStreaming, RejectsARequestThatBreaksWhileItIsSentAndDoesNotRetry) {
+// A request whose last byte was not sent has not executed, but its streamed body cannot be sent again.
+TEST(BodyStreaming, BrokenRequestIsRejectedAndNotRetried) {
   ProxyProcess proxy({.upstreams = 2});
   auto client = proxy.connect();
   auto text = http_request("/pay", 9000, random_text(4000000));
@@ -231,7 +231,7 @@
   EXPECT_FALSE(proxy.upstreams[1 - first].has_pending_connection());
 }
 
-// A hedged attempt would carry only what is left of the body.
+// A hedged attempt would carry only the rest of the body.
 TEST(BodyStreaming, HedgesNoRequestWhoseBodyIsStreamed) {
   for (bool large : {false, true}) {
     PolicyHarness w({}, 4, 3);
@@ -240,7 +240,7 @@
         .request_class = 0, .arrived_ms = w.now_ms, .deadline_ms = w.now_ms + 5000, .large_body = large};
     ASSERT_EQ(w.policy.decide(v, w.now_ms).kind, Decision::attempt);
     EXPECT_EQ(w.policy.attempt_timeout(v, w.now_ms).ask_again_ms == never, large);
-    for (int i = 0; i < 20; ++i) {  // its server falls silent while others respond
+    for (int i = 0; i < 20; ++i) {  // its server stops responding while others respond
       w.pass(100);
       for (int n = 0; n < 4; ++n) w.end(w.submit(0, 5000), 0, Outcome::succeeded);
       w.policy.decide(v, w.now_ms);
@@ -274,7 +274,7 @@
   stalled.send(http_request("/pay", 9000, random_text(60000)).substr(0, 300));
   auto slow = proxy.connect();
   auto text = http_request("/pay", 9000, random_text(200000));
-  std::thread sender([&] {  // at 64 kB a second
+  std::thread sender([&] {  // 64 kB per second
     for (std::size_t at = 0; at < text.size(); at += 6400) {
       slow.send(text.substr(at, 6400));
       std::this_thread::sleep_for(std::chrono::milliseconds(100));
--- a/tests/e2e/client_connections_test.cpp
+++ b/tests/e2e/client_connections_test.cpp
@@ -15,7 +15,7 @@
 namespace meadowgauge::test {
 namespace {
 
-// Whoever connects and sends nothing, or a request byte by byte, gets a status or is closed within 3 s.
+// A client that sends nothing, or a request byte by byte, gets a status or is closed within 3 s.
 TEST(ClientConnections, ClosesSilentAndSlowClientsSoonAfterConnecting) {
   ProxyProcess proxy({.upstreams = 1});
   auto served = proxy.connect(), slow = proxy.connect(), silent = proxy.connect(), endless = proxy.connect();
@@ -31,11 +31,12 @@
   EXPECT_EQ(status_of(slow.receive_message()), 408);
   EXPECT_TRUE(slow.wait_for_end());
   EXPECT_TRUE(silent.wait_for_end());
-  EXPECT_LT(Clock::now() - start, std::chrono::milliseconds(10000));  // it was 30 s before
-  EXPECT_TRUE(served.quiet());  // who has sent a whole request may be idle
+  EXPECT_LT(Clock::now() - start,
+            std::chrono::milliseconds(10000));  // 3 s, with a margin for a busy machine
+  EXPECT_TRUE(served.quiet());                  // after a whole request a connection may be idle
 }
 
-// Those that never send a whole request are evicted, so that one who does need not wait for their timeouts.
+// Connections without a whole request are evicted, so that another client need not wait for their timeouts.
 TEST(ClientConnections, ServesACompleteRequestUnderAFloodOfPartialOnes) {
   ProxyProcess proxy({.upstreams = 1, .sockets = 48});
   std::vector<TcpConnection> partial;
@@ -50,7 +51,7 @@
   EXPECT_TRUE(partial.back().quiet());
 }
 
-// Of those that have begun a request, who makes no progress is evicted first, not who began first.
+// Among partial requests the one without progress is evicted first, not the oldest.
 TEST(ClientConnections, EvictsStalledClientsBeforeASlowOneThatProgresses) {
   ProxyProcess proxy({.upstreams = 1, .sockets = 48});
   auto slow = proxy.connect();
@@ -68,7 +69,7 @@
 
 TEST(ClientConnections, ClosesIdleClientsWhenDescriptorsRunOut) {
   for (int open_descriptors : {0, 40}) {
-    // With most descriptors in use the limits never act, and accept() fails with EMFILE.
+    // With most descriptors in use accept() fails with EMFILE before a limit applies.
     ProxyProcess proxy(
         {.upstreams = 1, .sockets = open_descriptors > 0 ? 4096 : 48, .open_descriptors = open_descriptors});
     std::vector<TcpConnection> idle;
@@ -77,12 +78,12 @@
     client.send(http_request("/pay"));
     auto upstream = accept_and_respond(proxy.upstreams[0], ok_response);
     EXPECT_EQ(status_of(client.receive_message()), 200);
-    EXPECT_TRUE(idle.front().wait_for_end());  // the longest idle is closed first
+    EXPECT_TRUE(idle.front().wait_for_end());  // the least recently used is closed first
     EXPECT_EQ(proxy.get_status("/-/ready"), 200);
   }
 }
 
-// A connection that waits in the backlog for a descriptor would be lost: some are kept to reject it.
+// Some descriptors are reserved for rejections: a connection left in the backlog would get no response.
 TEST(ClientConnections, RejectsAtOnceBeyondTheInFlightLimit) {
   ProxyProcess proxy({.upstreams = 1, .sockets = 48});
   std::vector<TcpConnection> served;
@@ -109,16 +110,16 @@
     connections[i].send(ok_response);
     EXPECT_EQ(status_of(served[i].receive_message()), 200);
   }
-  // Once there is capacity again, there is for all that are still connected.
+  // Once there is capacity again, all clients still connected are served.
   served[0].send(http_request("/pay"));
-  auto& upstream = connections.back();  // the one used last is picked first
+  auto& upstream = connections.back();  // the most recently used is picked first
   upstream.receive_message();
   upstream.send(ok_response);
   EXPECT_EQ(status_of(served[0].receive_message()), 200);
 }
 
-// The limit is on requests in flight: connections beyond it that wait for their turn are served.
-TEST(ClientConnections, ServesMoreThanTheLimitWhileFewRequestsAreInFlight) {
+// The limit counts requests in flight: connections beyond it are served in turn.
+TEST(ClientConnections, ServesBeyondLimitWhileFewRequestsAreInFlight) {
   ProxyProcess proxy({.upstreams = 1, .sockets = 48});
   auto whole = http_request("/pay");
   std::vector<TcpConnection> clients;
@@ -136,8 +137,9 @@
   }
 }
 
-// One turn of the event loop reports 256 connections: the others timed out before their requests were read.
-TEST(ClientConnections, TakesRequestsThatArrivedBeforeTheirTimeoutIsHandled) {
+// One turn of the event loop reports 256 connections: the timeouts of the others must not be handled before
+// their requests are read.
+TEST(ClientConnections, ReadsRequestsThatArrivedBeforeTheirTimeout) {
   ProxyProcess proxy({.upstreams = 1, .sockets = 1000});
   std::vector<TcpConnection> clients;
   for (int i = 0; i < 400; ++i) clients.push_back(proxy.connect());
--- a/tests/e2e/client_disconnect_test.cpp
+++ b/tests/e2e/client_disconnect_test.cpp
@@ -1,7 +1,6 @@
-// Clients that disconnect before their request has ended: in one turn of the event loop with
-// another event (the program is paused meanwhile), or in an order that seldom comes. Each test is a row of
-// docs/design/endings.md; the verdict is what the clients and upstreams, played by the test, got. Each case
-// is tried with cancellation allowed and not.
+// Clients that disconnect before their request has ended: in one turn of the event loop with another event
+// (the program is paused meanwhile), or in a rare order. Each test is a row of docs/design/endings.md and
+// plays the clients and upstreams. Each case runs with cancellation allowed and forbidden.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -18,33 +17,30 @@
 namespace meadowgauge::test {
 namespace {
 
-// The client ends its sending and receives its response: the program has noticed that it disconnected.
+// Half-closes and receives the 500 that shows that the program has read the end of the client's stream.
 void half_close(TcpConnection& client) {
   client.end_sending();
   EXPECT_EQ(status_of(client.receive_message()), 500);
 }
 
-// Where cancellation is forbidden the request was sent once the connection was established, a second later.
-TEST(ClientDisconnect, DoesNotSendTheRequestWhenItsConnectionIsEstablishedLater) {
+// The connection is established a second after the client disconnected, also without cancellation.
+TEST(ClientDisconnect, LateConnectionGetsNoAbandonedRequest) {
   for (bool cancelling : {true, false}) {
     UnresponsiveHost back;
     ProxyProcess proxy(one_upstream(cancelling),
                        endpoint_list(1, true, {endpoint_entry(0, back.listener.address())}));
     auto client = proxy.connect();
     client.send(http_request("/pay"));
-    EXPECT_EQ(proxy.get_status("/-/ready"), 200);  // the request has been read by then
+    EXPECT_EQ(proxy.get_status("/-/ready"), 200);  // by now the request has been read
     half_close(client);
     auto first = back.listener.accept();  // the backlog has a free slot: the next SYN is accepted
     auto upstream = back.listener.accept();
-    auto other = proxy.connect();
-    auto request = http_request("/pay");
-    other.send(request);
-    expect_next_request(upstream, request, other);
+    expect_serves_new_client(proxy, upstream);
   }
 }
 
-// The same for a request that another upstream rejected before.
-TEST(ClientDisconnect, DoesNotSendTheRetryWhenItsConnectionIsEstablishedLater) {
+// The same for a request that another upstream has rejected.
+TEST(ClientDisconnect, LateConnectionGetsNoAbandonedRetry) {
   for (bool cancelling : {true, false}) {
     UnresponsiveHost back;
     ProxyProcess proxy(one_upstream(cancelling));
@@ -62,7 +58,7 @@
     half_close(client);
     auto first = back.listener.accept();
     auto late = back.listener.accept();
-    // The next requests use both; the request of the client that disconnected is at neither.
+    // The next two requests use both connections; neither has the disconnected client's request.
     for (int i = 0; i < 2; ++i) {
       auto other = proxy.connect();
       auto request = http_request("/pay");
@@ -73,8 +69,8 @@
   }
 }
 
-// Thirty disconnect at once with their requests in flight; a tenth of a second later the server rejects all
-// of them, so that each might go to the other one. None does; of thirty that stay, they do.
+// Thirty clients disconnect together; 0.1 s later the upstream rejects all their requests. None is retried at
+// the second upstream; the requests of thirty clients that stay are.
 TEST(ClientDisconnect, RetriesNoneOfThirtyThatDisconnectTogether) {
   for (bool cancelling : {true, false})
     for (bool disconnect : {true, false}) {
@@ -125,7 +121,7 @@
   }
 }
 
-// Nothing of it is sent, over an idle connection or a new one.
+// No byte of the request is sent, over an idle connection or a new one.
 TEST(ClientDisconnect, DoesNotSendARequestThatArrivesInTheSameTurn) {
   for (bool cancelling : {true, false})
     for (bool idle : {true, false})
@@ -135,8 +131,7 @@
         if (idle) {
           auto before = proxy.connect();
           before.send(http_request("/pay"));
-          upstream = accept_and_respond(proxy.upstreams[0], ok_response);
-          EXPECT_EQ(status_of(before.receive_message()), 200);
+          upstream = expect_served(proxy.upstreams[0], before);
         }
         auto client = proxy.connect();
         EXPECT_EQ(proxy.get_status("/-/ready"), 200);
@@ -152,8 +147,8 @@
       }
 }
 
-// The end is reported once, while the response before is being sent: the request behind it was served to
-// nobody.
+// epoll reports the end of the stream once, while the first response is being sent; the pipelined request
+// must not be forwarded for a client that has left.
 TEST(ClientDisconnect, DuringAResponseCountsForThePipelinedRequest) {
   for (bool cancelling : {true, false}) {
     ProxyProcess proxy(one_upstream(cancelling));
@@ -170,14 +165,11 @@
     EXPECT_EQ(status_and_body(client.receive_message()).second.size(), big.size());
     EXPECT_EQ(status_of(client.receive_message()), 500);
     sender.join();
-    auto other = proxy.connect();
-    auto request = http_request("/pay");
-    other.send(request);
-    expect_next_request(upstream, request, other);
+    expect_serves_new_client(proxy, upstream);
   }
 }
 
-// In both orders, and the upstream connection is as good as before.
+// In both orders of the two events; the upstream connection stays usable.
 TEST(ClientDisconnect, InOneTurnWithTheResponseGivesOneResponseAtMost) {
   for (bool cancelling : {true, false})
     for (bool answer_first : {true, false})
@@ -208,7 +200,7 @@
       }
 }
 
-// The upstream resets the attempt as the client half-closes: it gets its response and nothing more.
+// The upstream resets the attempt as the client half-closes: the client gets exactly one response.
 TEST(ClientDisconnect, InOneTurnWithAnUpstreamResetGivesOneResponse) {
   for (bool cancelling : {true, false})
     for (bool reset_first : {true, false}) {
--- a/tests/e2e/configuration_test.cpp
+++ b/tests/e2e/configuration_test.cpp
@@ -1,5 +1,5 @@
-// What the program reads at its start and on SIGHUP: an operator's file in place of discovery, and the one
-// line that names what is wrong. The test starts the program and plays clients and upstreams over loopback.
+// Configuration at startup and on SIGHUP: an operator's file in place of discovery, and one-line errors. The
+// test starts the program and plays clients and upstreams over loopback.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/e2e/forwarding_test.cpp
+++ b/tests/e2e/forwarding_test.cpp
@@ -1,5 +1,5 @@
-// Forwarding of requests by the running program: what passes unchanged, what is retried elsewhere, what is
-// rejected. The test plays the clients, the upstreams and discovery over loopback.
+// Forwarding by the running program: requests passed unchanged, retried at another upstream, or rejected. The
+// test plays the clients, the upstreams and discovery over loopback.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,6 +9,7 @@
 
 #include "fixtures/discovery_stand_in.hpp"
 #include "fixtures/http_messages.hpp"
+#include "fixtures/proxy_checks.hpp"
 #include "fixtures/proxy_process.hpp"
 
 namespace meadowgauge::test {
@@ -45,14 +46,9 @@
   ProxyProcess proxy;
   auto client = proxy.connect();
   client.send(http_request("/pay"));
-  auto first = wait_for_dialled_upstream(proxy);
-  auto upstream = proxy.upstreams[first].accept();
-  upstream.receive_message();
-  upstream.send(rejected_response);
-  auto other = proxy.upstreams[1 - first].accept();
-  other.receive_message();
-  other.send(ok_response);
-  EXPECT_EQ(status_of(client.receive_message()), 200);
+  auto first = receive_attempt(proxy);
+  first.connection.send(rejected_response);
+  expect_served(proxy.upstreams[1 - first.upstream], client);
 }
 
 TEST(Forwarding, RetriesElsewhereWhenTheConnectionIsRefused) {
@@ -67,17 +63,15 @@
   }
 }
 
-// Once its last byte was sent such a request may have executed: no other attempt, and no status that allows
-// one.
-TEST(Forwarding, DoesNotRetryANonIdempotentRequestThatMayHaveExecuted) {
+// A non-idempotent request may have executed once its last byte is sent: there is no other attempt, and no
+// status that invites the client to send it again.
+TEST(Forwarding, NonIdempotentRequestIsNotRetriedOnceSent) {
   for (std::string how :
        {"reset", "end", "half an answer", "nonsense", "500", "two lengths", "endless", "503"}) {
     ProxyProcess proxy;
     auto client = proxy.connect();
     client.send(http_request("/pay"));
-    auto first = wait_for_dialled_upstream(proxy);
-    auto upstream = proxy.upstreams[first].accept();
-    upstream.receive_message();
+    auto [first, upstream, message] = receive_attempt(proxy);
     if (how == "reset") upstream.reset();
     if (how == "end") upstream.close();
     if (how == "half an answer") {
@@ -100,25 +94,20 @@
   ProxyProcess proxy;
   auto client = proxy.connect();
   client.send("GET /view HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\n\r\n");
-  auto first = wait_for_dialled_upstream(proxy);
-  auto upstream = proxy.upstreams[first].accept();
-  EXPECT_EQ(upstream.receive_message().find("Content-Length"), std::string::npos);
+  auto [first, upstream, message] = receive_attempt(proxy);
+  EXPECT_EQ(message.find("Content-Length"), std::string::npos);
   upstream.reset();
-  auto other = proxy.upstreams[1 - first].accept();
-  other.receive_message();
-  other.send(ok_response);
-  EXPECT_EQ(status_of(client.receive_message()), 200);
+  expect_served(proxy.upstreams[1 - first], client);
 }
 
-TEST(Forwarding, RespondsBeforeTheClientTimeoutWhenTheUpstreamIsSilent) {
+TEST(Forwarding, SilentUpstreamGives504BeforeClientTimeout) {
   ProxyProcess proxy;
   auto client = proxy.connect();
   auto start = Clock::now();
   client.send(http_request("/pay", 1000));
-  auto upstream = proxy.upstreams[wait_for_dialled_upstream(proxy)].accept();
-  upstream.receive_message();
+  auto upstream = receive_attempt(proxy).connection;
   EXPECT_EQ(status_of(client.receive_message()), 504);
-  // Not early. How late it may be can't be checked on a machine that may be busy.
+  // Asserts no upper bound: on a busy machine the response may be late.
   EXPECT_GT(Clock::now() - start, std::chrono::milliseconds(800));
   EXPECT_TRUE(upstream.wait_for_end());  // the connection of an abandoned attempt is closed
 }
@@ -135,8 +124,7 @@
   for (bool half : {false, true}) {
     auto client = proxy.connect();
     client.send(http_request("/pay"));
-    auto upstream = proxy.upstreams[wait_for_dialled_upstream(proxy)].accept();
-    upstream.receive_message();
+    auto upstream = receive_attempt(proxy).connection;
     if (half)
       client.end_sending();
     else
@@ -207,11 +195,10 @@
   ProxyProcess many({}, endpoint_list(1, true, hosts));
   auto another = many.connect();
   another.send(http_request("/pay"));
-  auto upstream = accept_and_respond(listener, ok_response);
-  EXPECT_EQ(status_of(another.receive_message()), 200);
+  expect_served(listener, another);
 }
 
-// Where only probes report load, a request waits for their responses.
+// When load reports come only from probes, a request waits for the probes' responses.
 TEST(Forwarding, PicksTheUpstreamWhoseProbesReportTheLeastLoad) {
   ProxyProcess proxy({.upstreams = 2,
                       .settings = R"(,"replicas_of_me":400,"limits":{"probes":true,"max_backend_fetches":3},)"
--- a/tests/e2e/idempotency_test.cpp
+++ b/tests/e2e/idempotency_test.cpp
@@ -38,7 +38,7 @@
 // The first attempt may have run in zone a. Another waits for a connection to a server of that zone, which a
 // list puts into zone b before the connection comes up: where keys of zone a are not known it would run
 // twice.
-TEST(Idempotency, AnAttemptThatWaitsIsNotSentToAServerThatHasLeftItsGroup) {
+TEST(Idempotency, QueuedAttemptSkipsServerThatLeftItsGroup) {
   for (const std::string zone : {"b", "a"}) {
     UnresponsiveHost slow;
     ProxyProcess proxy({.upstreams = 1, .settings = keyed_by_zone});
@@ -51,9 +51,9 @@
     first.reset();
     EXPECT_EQ(proxy.get_status("/-/ready"), 200);  // the reset has been read by then
     publish_and_wait(proxy, watch, 3, endpoint_entry_in(zone, 1, slow.listener.address()));
-    auto occupant = slow.listener.accept();  // now the next try of the dial comes up
+    auto occupant = slow.listener.accept();  // the next SYN is accepted now
     auto late = slow.listener.accept();
-    if (zone == "a") {  // it has stayed: the repeat is known there
+    if (zone == "a") {  // unchanged zone: it knows the key
       EXPECT_NE(late.receive_message().find("Idempotency-Key: 5c0f6e1a"), std::string::npos);
       late.send(ok_response);
       EXPECT_EQ(status_of(client.receive_message()), 200);
--- a/tests/e2e/migration_test.cpp
+++ b/tests/e2e/migration_test.cpp
@@ -16,11 +16,11 @@
 namespace meadowgauge::test {
 namespace {
 
-// What both upstreams saw together.
+// Totals over both upstreams.
 struct Ledger {
   std::set<std::string> request_ids;
   int executed_twice = 0;
-  std::size_t longest_queue = 0;
+  std::size_t max_queue_length = 0;
 };
 
 // An upstream that executes one request at a time, in the order of their arrival.
@@ -28,7 +28,7 @@
  public:
   SerialUpstream(const ListeningSocket& listener, Ledger& ledger) : listener_(listener), ledger_(ledger) {}
 
-  // Takes what has come and responds to the request whose time is over, without waiting for either.
+  // Reads pending bytes and responds to a request whose service time is over. Never blocks.
   void serve() {
     while (listener_.has_pending_connection()) connections_.push_back({listener_.accept()});
     for (std::size_t i = 0; i < connections_.size(); ++i)
@@ -41,7 +41,7 @@
  private:
   struct Connection {
     TcpConnection peer;
-    bool busy = false;  // a request of it is queued, or it has ended
+    bool busy = false;  // its request is queued, or it has ended
   };
 
   void receive(std::size_t i) {
@@ -57,13 +57,13 @@
     queue_.push_back(i);
     ++received_;
     if (!ledger_.request_ids.insert(id_field_of(message)).second) ++ledger_.executed_twice;
-    ledger_.longest_queue = std::max(ledger_.longest_queue, queue_.size());
+    ledger_.max_queue_length = std::max(ledger_.max_queue_length, queue_.size());
   }
 
   void respond() {
     if (queue_.empty()) done_at_ = {};
     if (queue_.empty() || Clock::now() < done_at_) return;
-    if (done_at_ == Clock::time_point{}) {  // the first of the queue begins now
+    if (done_at_ == Clock::time_point{}) {  // starts the first request of the queue
       done_at_ = Clock::now() + service_time_;
       return;
     }
@@ -133,7 +133,7 @@
     for (int i = 0; i < 4; ++i) clients.emplace_back(proxy.connect()).send(http_request("/pay"));
     return clients;
   }
-  // Takes the responses that are here; each client then sends its next request. How many succeeded.
+  // Reads the pending responses; each client then sends its next request. Returns how many succeeded.
   static int receive_responses(std::vector<TcpConnection>& clients) {
     int succeeded = 0;
     for (auto& client : clients) {
@@ -162,7 +162,7 @@
   EXPECT_GE(4 * succeeded.previous, succeeded.total()) << succeeded.current;
   EXPECT_GE(4 * succeeded.current, succeeded.total()) << succeeded.previous;
   EXPECT_EQ(both.ledger().executed_twice, 0);
-  EXPECT_LE(both.ledger().longest_queue, 8U);
+  EXPECT_LE(both.ledger().max_queue_length, 8U);
   // Once both have read that one drains, neither sends it anything.
   both.publish_second(2, "leaving");
   both.run(30);
--- a/tests/e2e/random_events_test.cpp
+++ b/tests/e2e/random_events_test.cpp
@@ -50,7 +50,7 @@
   }
 
  private:
-  // What a request got: its client's responses, and how often it reached an upstream.
+  // The outcome of a request: the client's responses, and how often it reached an upstream.
   struct RequestRecord {
     int responses = 0;
     int status = 0;
@@ -77,7 +77,7 @@
                        [](const Client& client) { return !client.unanswered.empty(); });
   }
 
-  // Whoever stayed has one response to each request, and what may have executed was not sent again.
+  // A client that stayed has one response to each request, and no request that may have executed was resent.
   void expect_all_answered() {
     auto until = Clock::now() + ms(wait_limit_ms);
     while (some_unanswered() && Clock::now() < until) serve();
@@ -100,7 +100,7 @@
     auto until = Clock::now() + ms(wait_limit_ms);
     health_ = {"leaving", "active", "active"};
     ++list_version_;
-    // Published on each watch from now on: the one that is open may just be given up for another.
+    // Publishes on each watch from now on, because the program may be replacing the open one.
     auto marker = "mark" + std::to_string(list_version_);
     marker_ = R"({"host":")" + marker + R"(","health":"odd"})";
     publish_list();
@@ -195,7 +195,7 @@
 
   // --- The stand-ins ------------------------------------------------------------------------------------
 
-  // Takes all that has come, wherever it came.
+  // Reads all pending bytes of all stand-ins.
   void serve() {
     std::this_thread::sleep_for(ms(1));
     accept_upstream_connections();
@@ -242,7 +242,7 @@
       case 4:
         peer.send(ok_response.substr(0, ok_response.size() - 3));
         return peer.close();
-      case 5:  // without an end
+      case 5:  // responds without an end
         return peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
       case 6:  // hangs
         return;
--- a/tests/e2e/shutdown_test.cpp
+++ b/tests/e2e/shutdown_test.cpp
@@ -1,5 +1,5 @@
-// Graceful shutdown of the running program: what is still accepted, answered and given up after SIGTERM, and
-// when it exits. The test plays the clients and the upstream over loopback, and sends the signals.
+// Graceful shutdown of the running program: requests accepted, answered and failed after SIGTERM, and the
+// time of the exit. The test plays the clients and the upstream over loopback, and sends the signals.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/stat.h>
@@ -15,6 +15,7 @@
 #include <utility>
 
 #include "fixtures/http_messages.hpp"
+#include "fixtures/proxy_checks.hpp"
 #include "fixtures/proxy_process.hpp"
 #include "fixtures/temporary_directory.hpp"
 #include "fixtures/waiting.hpp"
@@ -22,7 +23,11 @@
 namespace meadowgauge::test {
 namespace {
 
-TEST(Shutdown, ServesOnAnswersAllAndExitsCleanly) {
+// Settings with a client timeout of 60 ms.
+const std::string short_client_timeout =
+    R"(,"path_prefixes":[{"name":"pay","repeat":"at_most_once","client_timeout_ms":60.0}])";
+
+TEST(Shutdown, DrainsAnswersAllAndExitsCleanly) {
   ProxyProcess proxy({.upstreams = 1, .leave_ms = "2500"});  // more than the default, for a busy machine
   auto before = proxy.connect(), idle = proxy.connect();
   idle.send("GET /-/ready HTTP/1.1\r\nHost: b\r\n\r\n");
@@ -38,8 +43,7 @@
   auto second = proxy.upstreams[0].accept();
   second.receive_message();
   EXPECT_EQ(proxy.get_status("/-/ready"), 503);
-  EXPECT_TRUE(
-      idle.wait_for_end());  // after a while: from then on responses are the last of their connections
+  EXPECT_TRUE(idle.wait_for_end());  // the drain has ended: each later response closes its connection
   upstream.send(ok_response);
   second.send(ok_response);
   for (auto* client : {&before, &late}) {
@@ -52,14 +56,12 @@
   EXPECT_EQ(proxy.exit_status(), 0);
 }
 
-// The front may have no other balancer for those that are connected: they are served for as long as there is
-// time.
-TEST(Shutdown, ServesOnForTheLongestClientTimeout) {
+// Connected clients may have no other balancer, so they are served until the shutdown ends.
+TEST(Shutdown, DrainsForTheMaximumClientTimeout) {
   ProxyProcess proxy({.upstreams = 1, .leave_ms = ""});
   auto client = proxy.connect();
   client.send(http_request("/pay"));
-  auto upstream = accept_and_respond(proxy.upstreams[0], ok_response);
-  EXPECT_EQ(status_of(client.receive_message()), 200);
+  auto upstream = expect_served(proxy.upstreams[0], client);
   auto start = Clock::now();
   proxy.terminate();
   EXPECT_TRUE(client.wait_for_end());
@@ -67,7 +69,7 @@
   EXPECT_EQ(proxy.exit_status(), 0);
 }
 
-TEST(Shutdown, GivesUpInTimeOnWhatIsNeverAnswered) {
+TEST(Shutdown, FailsUnansweredRequestsBeforeTheExit) {
   ProxyProcess proxy({.upstreams = 1});
   auto client = proxy.connect();
   client.send(http_request("/pay", 60000));
@@ -79,8 +81,8 @@
   EXPECT_EQ(proxy.exit_status(), 0);
 }
 
-// The program while it starts: its configuration comes through a named pipe, so that it is known to be
-// reading it.
+// The program during startup. Its configuration is a named pipe, so that the test knows when it is being
+// read.
 class StartingProcess {
  public:
   explicit StartingProcess(const std::string& discovery_address)
@@ -117,7 +119,7 @@
   void finish_configuration() const {
     const std::string text = R"({"settings":{"path_prefixes":[{"name":"pay","client_timeout_ms":500}]}})";
     std::filesystem::remove(config_path_);
-    std::ofstream(config_path_) << text;  // for when it is read again
+    std::ofstream(config_path_) << text;  // for the reload
     EXPECT_EQ(write(config_fd_, text.data(), text.size()), static_cast<ssize_t>(text.size()));
     ::close(config_fd_);
   }
@@ -127,7 +129,7 @@
     waitpid(std::exchange(pid_, -1), &status, 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  // All that it has logged; after its exit.
+  // The whole log. To be called once, after the exit.
   [[nodiscard]] std::string log() const {
     std::string all;
     char bytes[4096];
@@ -164,13 +166,10 @@
   EXPECT_NE(process.log().find("configuration read again"), std::string::npos);
 }
 
-// New connections go on coming for 0.4 s after SIGTERM, however short client timeouts are; a second signal
-// changes nothing.
+// New connections are accepted for 0.4 s after SIGTERM, however short client timeouts are; a second signal
+// has no effect.
 TEST(Shutdown, AcceptsNewConnectionsAtFirst) {
-  ProxyProcess proxy(
-      {.upstreams = 1,
-       .settings = R"(,"path_prefixes":[{"name":"pay","repeat":"at_most_once","client_timeout_ms":60.0}])",
-       .leave_ms = ""});
+  ProxyProcess proxy({.upstreams = 1, .settings = short_client_timeout, .leave_ms = ""});
   auto idle = proxy.connect();
   EXPECT_EQ(proxy.get_status("/-/ready"), 200);
   auto start = Clock::now();
@@ -190,13 +189,10 @@
              : std::stoi(line.substr(at + 7, 2)) * 1000 + std::stoi(line.substr(at + 10, 3));
 }
 
-// What is given up is answered before the exit, with time to receive it: what the socket does not take in the
-// turn in which the process exits is lost, and what the client sends then resets the connection.
+// Failed requests are answered some time before the exit: bytes that the socket does not accept in the exit's
+// turn of the event loop are lost, and bytes from the client would then reset the connection.
 TEST(Shutdown, LeavesTimeToReceiveTheLastResponses) {
-  ProxyProcess proxy(
-      {.upstreams = 1,
-       .settings = R"(,"path_prefixes":[{"name":"pay","repeat":"at_most_once","client_timeout_ms":60.0}])",
-       .leave_ms = "0"});
+  ProxyProcess proxy({.upstreams = 1, .settings = short_client_timeout, .leave_ms = "0"});
   auto client = proxy.connect();
   client.send(http_request("/pay", 60000));
   auto upstream = proxy.upstreams[0].accept();
@@ -214,8 +210,7 @@
   EXPECT_EQ(proxy.exit_status(), 0);
 }
 
-// A request that comes in the last moments has little time left, and its server learns how little; where a
-// longer drain was asked for, it has that.
+// The budget of a request is capped at the time left of the drain; its upstream receives the capped budget.
 TEST(Shutdown, LimitsTheBudgetOfNewRequestsToTheTimeLeft) {
   for (bool longer : {false, true}) {
     ProxyProcess proxy(
@@ -225,8 +220,7 @@
          .leave_ms = longer ? "100000" : ""});
     auto client = proxy.connect();
     client.send(http_request("/pay"));
-    auto upstream = accept_and_respond(proxy.upstreams[0], ok_response);
-    EXPECT_EQ(status_of(client.receive_message()), 200);
+    auto upstream = expect_served(proxy.upstreams[0], client);
     auto start = Clock::now();
     proxy.terminate();
     proxy.wait_for_log("ending");
--- a/tests/e2e/upstream_connections_test.cpp
+++ b/tests/e2e/upstream_connections_test.cpp
@@ -32,7 +32,7 @@
     publish(watch,
             endpoint_list(++seq, false, {endpoint_entry(0, proxy.upstreams[0].address(), "active", 0)}));
     publish(watch, endpoint_list(++seq, false, {marker_entry}));
-    proxy.wait_for_log(marker_log);  // the line before it has been read
+    proxy.wait_for_log(marker_log);  // by now the previous line has been read
   }
 }
 
@@ -46,7 +46,7 @@
   EXPECT_TRUE(upstream.wait_for_end());
 }
 
-// A connection cut off without an end is reset by what is written to it once the machine is back.
+// A connection lost without a FIN is reset by the next write once the peer is back.
 TEST(UpstreamConnections, DropsIdleOnesAfterATimeoutWithoutOtherTraffic) {
   ProxyProcess proxy({.upstreams = 1});
   auto one = proxy.connect(), two = proxy.connect();
@@ -65,7 +65,7 @@
   EXPECT_TRUE(second.wait_for_end());
 }
 
-// What follows a response may arrive a little later: it is not the response to the next request.
+// Bytes after a response may arrive later; they are not the response to the next request.
 TEST(UpstreamConnections, LetsOneSettleBeforeItIsReused) {
   ProxyProcess proxy({.upstreams = 1, .settings = R"(,"limits":{"settle_ms":600000.0})"});
   auto client = proxy.connect();
@@ -81,7 +81,7 @@
   EXPECT_EQ(status_and_body(client.receive_message()), (std::pair<int, std::string>{200, "done"}));
 }
 
-// Some ends never arrive: where several servers closed idle connections, those about as old are not used.
+// A FIN may be lost: once several servers closed idle connections, others of similar age are not reused.
 TEST(UpstreamConnections, AvoidsIdleOnesNearTheAgeAtWhichOthersWereClosed) {
   ProxyProcess proxy({.upstreams = 3});
   std::vector<TcpConnection> clients, connections;
@@ -95,7 +95,7 @@
     connections[i].send(ok_response);
     EXPECT_EQ(status_of(clients[i].receive_message()), 200);
   }
-  std::this_thread::sleep_for(std::chrono::milliseconds(100));  // they age
+  std::this_thread::sleep_for(std::chrono::milliseconds(100));  // lets the connections age
   for (std::size_t i = 0; i < 5; ++i) connections[i].close();
   EXPECT_EQ(proxy.get_status("/-/ready"), 200);
   for (std::size_t i = 0; i < 3; ++i) clients[i].send(http_request("/pay"));
@@ -104,7 +104,7 @@
   EXPECT_TRUE(connections[5].quiet());
 }
 
-// Ever new servers, some at the address of one that the list has not removed yet.
+// New servers keep appearing, some at the address of a server that the list still has.
 TEST(UpstreamConnections, ReleasesAllWhenServersAreReplacedAtOneAddress) {
   ProxyProcess proxy({.upstreams = 1});
   auto watch = accept_watch(proxy.discovery);
@@ -140,7 +140,7 @@
 }
 
 // A drain's grace may end before connecting times out.
-TEST(UpstreamConnections, RetriesElsewhereWhenTheUpstreamDrainsWhileConnecting) {
+TEST(UpstreamConnections, RetriesElsewhereOnDrainDuringConnect) {
   UnresponsiveHost gone;
   ListeningSocket other;
   ProxyProcess proxy({.settings = R"(,"limits":{"dial_timeout_ms":3600000.0})"},
