--- a/src/testbed/checker.cpp
+++ b/src/testbed/checker.cpp
@@ -10,9 +10,9 @@
 namespace meadowgauge::testbed {
 
 std::string_view rule_name(Rule rule) {
-  constexpr auto names = std::to_array<std::string_view>(
-      {"no visit is lost", "no effect twice", "drains kept", "a cold upstream is not pushed over",
-       "no balancer ends by itself", "limits of the fleet kept"});
+  constexpr auto names = std::to_array<std::string_view>({"no request is lost", "no duplicate effect",
+                                                          "drains are respected", "slow start is respected",
+                                                          "no balancer crashes", "fleet limits are kept"});
   return names[static_cast<std::size_t>(rule)];
 }
 
@@ -20,7 +20,7 @@
 
 using Result = ServerRecord::Result;
 
-// As far as the balancer can know: the request arrived complete, and it was not told otherwise.
+// A balancer must assume execution once the request was complete, unless the server rejected it.
 bool may_have_executed(const ServerRecord& record) {
   return record.last_byte_ms != never && record.result != Result::rejected &&
          record.result != Result::incomplete;
@@ -68,7 +68,7 @@
     for (const auto& crash : history_.server_crashes)
       add_violation(Rule::slow_start_respected, crash.at_ms,
                     "server " + std::to_string(crash.server) + " of tier " + std::to_string(crash.tier) +
-                        " fell over while it was cold");
+                        " crashed during slow start");
     for (const auto& exit : history_.balancer_exits)
       if (exit.cause == BalancerExit::Cause::crashed)
         add_violation(Rule::no_crash, exit.at_ms,
@@ -82,11 +82,11 @@
                       "limit of " + all_or(limit.tenant, "all tenants") + " on " +
                           all_or(limit.request_class, "all path prefixes") + ": " +
                           std::to_string(static_cast<long>(std::ceil(admitted.max_excess))) +
-                          " visits over its bound");
+                          " requests over the bound");
   }
 
-  // The plan killed or paused the attempt's balancer while the attempt was in flight there. A planned stop
-  // excuses nothing: a balancer that is asked to exit answers all it holds first.
+  // True if the experiment killed or paused the balancer while the attempt was in flight there. A graceful
+  // shutdown excuses nothing: the balancer answers all accepted requests before it exits.
   [[nodiscard]] bool excused_by_plan(const Attempt& attempt) const {
     const double slack = contract_.slack_ms;
     bool paused = std::any_of(
@@ -104,7 +104,7 @@
                                  });
   }
 
-  // A violation unless the plan took the attempt's balancer away.
+  // Counts a violation unless the experiment killed or paused the attempt's balancer.
   void add_lost(const Attempt& attempt, double at_ms, const char* description) {
     if (excused_by_plan(attempt))
       ++verdict_.excused;
@@ -112,15 +112,15 @@
       add_violation(Rule::no_request_lost, at_ms, attempt.id + description);
   }
 
-  // Null where no server saw the attempt.
+  // Null if no server received the attempt.
   [[nodiscard]] const Records* records_of(const Attempt& attempt) const {
     auto it = records_by_id_.find(attempt.id);
     return it == records_by_id_.end() ? nullptr : &it->second;
   }
 
-  // Some server says that it answered this before the client had the answer (1 ms for the reading of two
-  // threads' clocks). `ended_ms` alone is from the begin of the client's turn: a client that was suspended
-  // right behind it read answers that servers had given later than that, and they passed for made up.
+  // True if a server answered before the client received the response, with 1 ms tolerance between the clock
+  // readings of two threads. `ended_ms` is read when the client's turn begins, and the response may arrive
+  // later in that turn, so the later of `ended_ms` and `received_by_ms` is the bound.
   static bool answered_by_server(const Records* records, const Attempt& attempt) {
     double received_by_ms = std::max(attempt.ended_ms, attempt.received_by_ms);
     return records != nullptr &&
@@ -133,13 +133,13 @@
   void check_lost(const Attempt& attempt) {
     if (attempt.extra_bytes)
       add_violation(Rule::no_request_lost, attempt.ended_ms,
-                    attempt.id + ": bytes came after its final answer");
+                    attempt.id + ": bytes followed the final response");
     const auto* records = records_of(attempt);
     switch (attempt.outcome) {
       case Outcome::succeeded:
         if (!answered_by_server(records, attempt))
           add_violation(Rule::no_request_lost, attempt.ended_ms,
-                        attempt.id + ": delivered, but no server answered it");
+                        attempt.id + ": succeeded, but no server answered it");
         check_late(attempt);
         break;
       case Outcome::rejected:
@@ -148,7 +148,7 @@
         break;
       case Outcome::corrupted:
         add_violation(Rule::no_request_lost, attempt.ended_ms,
-                      attempt.id + ": served with a body that no server made for it");
+                      attempt.id + ": 200 with a body that no server produced for it");
         break;
       case Outcome::unreachable:
         break;
@@ -159,15 +159,15 @@
       case Outcome::timed_out:
         if (attempt.written_ms == never) break;
         add_lost(attempt, std::min(attempt.ended_ms, attempt.deadline_ms),
-                 attempt.outcome == Outcome::timed_out ? ": no answer until the client timeout"
-                                                       : ": its connection ended without a whole answer");
+                 attempt.outcome == Outcome::timed_out ? ": no response before the client timeout"
+                                                       : ": connection ended without a complete response");
         break;
     }
   }
 
   void check_late(const Attempt& attempt) {
     if (attempt.ended_ms > attempt.deadline_ms + contract_.slack_ms)
-      add_lost(attempt, attempt.ended_ms, ": answered after the client timeout");
+      add_lost(attempt, attempt.ended_ms, ": response after the client timeout");
   }
 
   [[nodiscard]] const ServerPlacement& placement_of(const ServerRecord& record) const {
@@ -201,17 +201,17 @@
       if (first && !may_repeat(request_class, *first, *record))
         add_violation(Rule::no_duplicate_effect, record->last_byte_ms,
                       attempt.id + ": sent to server " + std::to_string(record->server) + " though server " +
-                          std::to_string(first->server) + " may have run it");
+                          std::to_string(first->server) + " may have executed it");
       if (!first && may_have_executed(*record)) first = record;
     }
     if (request_class.idempotency == Idempotency::non_idempotent && attempt.outcome == Outcome::rejected &&
         first && first->last_byte_ms < attempt.ended_ms)
       add_violation(
           Rule::no_duplicate_effect, attempt.ended_ms,
-          attempt.id + ": bounced though server " + std::to_string(first->server) + " may have run it");
+          attempt.id + ": rejected though server " + std::to_string(first->server) + " may have executed it");
   }
 
-  // The process that was notified has exited before the request came: its successor knows nothing of it.
+  // True if the notified process exited before the request: its successor never received the notification.
   [[nodiscard]] bool restarted_since(const EndpointNotification& notification,
                                      const ServerRecord& record) const {
     return std::any_of(
@@ -221,8 +221,8 @@
         });
   }
 
-  // The notification that was in force at the balancer when it sent this request. Of several in a row that
-  // say the same the first counts. Null: none.
+  // The notification in force at the balancer when it sent this request; null if there was none. A repeated
+  // notification doesn't restart the grace period.
   [[nodiscard]] const EndpointNotification* notification_before(const ServerRecord& record) const {
     auto it = notifications_.find({record.tier, record.balancer, record.server});
     if (it == notifications_.end()) return nullptr;
@@ -243,7 +243,7 @@
     add_violation(Rule::drains_respected, record.first_byte_ms,
                   record.id + ": sent to server " + std::to_string(record.server) + " " +
                       std::to_string(static_cast<long>(record.first_byte_ms - last->at_ms)) +
-                      " ms after balancer " + std::to_string(record.balancer) + " was told");
+                      " ms after balancer " + std::to_string(record.balancer) + " was notified");
   }
 
   const History& history_;
@@ -270,8 +270,8 @@
 
 }  // namespace
 
-// A token bucket over the whole fleet, filled at the rate and emptied by each admission, gives the worst of
-// all windows that end there. It holds the burst and what may have been admitted earlier and arrived late.
+// A token bucket over the whole fleet: its deficit at an admission is the excess of the worst window that
+// ends there. The capacity covers the burst and admissions delayed on their way to the server.
 AdmissionHistory admission_history(const History& history, const Contract& contract,
                                    const FleetLimit& limit) {
   auto counts = counted_ids(history, contract, limit);
--- a/src/testbed/checker.hpp
+++ b/src/testbed/checker.hpp
@@ -1,5 +1,5 @@
-// The checker: holds the history of a run against what the balancers were configured to keep, and gives a
-// verdict by rule. Values only; it shares no code with the balancer that it judges.
+// The checker: compares the history of a run with the rules that the balancers were configured to keep, and
+// gives a verdict by rule. Values only; it shares no code with the balancer under test.
 #pragma once
 
 #include <array>
@@ -24,21 +24,23 @@
   int zone = 0, block = -1;  // servers of one block share their deduplication cache; -1: shares with none
 };
 
-// What the balancers were configured with, so far as the rules depend on it.
+// The part of the balancers' configuration that the rules depend on.
 struct Contract {
   std::vector<RequestClassSpec> request_classes;
-  double drain_grace_ms = 400, slack_ms = 50;         // the slack covers scheduling of the testbed itself
+  double drain_grace_ms = 400;                        // after a drain notification
+  double slack_ms = 50;                               // covers scheduling of the testbed itself
   std::vector<std::vector<ServerPlacement>> servers;  // by tier
   std::vector<std::string> tenants{};
   std::vector<FleetLimit> limits{};
-  double admission_to_server_ms =
-      100;  // at most, between a request's admission and its first byte at a server
+  // The maximum between a request's admission and its first byte at a server.
+  double admission_to_server_ms = 100;
 };
 
-// What a fleet limit let through: each request's first attempt at the first tier, from the servers' records.
+// Requests admitted under a fleet limit: each request's first attempt at the first tier, from the servers'
+// records.
 struct AdmissionHistory {
   std::vector<std::pair<double, int>> events;  // time in ms and balancer, in order of time
-  double max_excess = 0;    // requests above the bound in the worst window; 0 or less: kept
+  double max_excess = 0;    // requests over the bound in the worst window; kept if at most 0
   double excess_at_ms = 0;  // the end of that window
 };
 AdmissionHistory admission_history(const History& history, const Contract& contract, const FleetLimit& limit);
@@ -52,7 +54,7 @@
   fleet_limits_kept
 };
 inline constexpr int rule_count = 6;
-// The rule's name in reports and in the JSON figures, where it is a key.
+// The rule's name in reports and in the JSON metrics, where it is a key.
 std::string_view rule_name(Rule rule);
 
 struct Violation {
@@ -64,7 +66,7 @@
 struct Verdict {
   std::vector<Violation> violations;              // in order of time
   std::array<std::uint64_t, rule_count> count{};  // by rule
-  std::uint64_t excused = 0;  // attempts lost with a balancer that the plan had killed or paused
+  std::uint64_t excused = 0;  // attempts lost with a balancer that the experiment killed or paused
   [[nodiscard]] bool kept() const { return violations.empty(); }
   [[nodiscard]] bool kept(Rule rule) const { return count[static_cast<int>(rule)] == 0; }
 };
--- a/src/testbed/commands.cpp
+++ b/src/testbed/commands.cpp
@@ -17,7 +17,8 @@
 
 namespace {
 
-constexpr int exit_rule_broken = 3, exit_stopped = 130;
+constexpr int exit_rule_violated = 3;
+constexpr int exit_stopped = 130;
 
 bool is_executable(const std::string& path) { return access(path.c_str(), X_OK) == 0; }
 
@@ -27,14 +28,14 @@
   if (name == "direct") return {.name = name, .program = {}, .args = {}, .settings = {}};
   if (is_executable(name) && !std::filesystem::is_directory(name))
     return {.name = name, .program = name, .args = {}, .settings = {}};
-  throw UsageError(experiment.file + " has no build " + name + ", and it is no program");
+  throw UsageError(experiment.file + " has no build " + name + ", and no program has this path");
 }
 
-// Finds a build and checks that its program is there, before anything is started.
+// Finds a build and checks that its program is executable, before anything is started.
 BuildSpec require_build(const Experiment& experiment, const std::string& name) {
   auto build = find_build(experiment, name);
   if (!build.program.empty() && !is_executable(build.program))
-    throw UsageError("build " + build.name + ": no program " + build.program);
+    throw UsageError("build " + build.name + ": no executable program at " + build.program);
   return build;
 }
 
@@ -48,7 +49,7 @@
 
 void write_file(const std::string& path, const std::string& text) {
   std::ofstream out(path);
-  if (!(out << text)) throw std::runtime_error("can't write " + path);
+  if (!(out << text)) throw std::runtime_error("cannot write " + path);
 }
 
 // Runs an experiment and keeps its reports.
@@ -58,7 +59,7 @@
 
   [[nodiscard]] bool stopped() const { return options_.stop->load(); }
   [[nodiscard]] bool rules_kept() const { return rules_kept_; }
-  [[nodiscard]] int exit_status() const { return rules_kept_ ? 0 : exit_rule_broken; }
+  [[nodiscard]] int exit_status() const { return rules_kept_ ? 0 : exit_rule_violated; }
 
   Report run(const Experiment& experiment, const BuildSpec& build, std::uint64_t seed) {
     RunOptions run;
@@ -71,19 +72,19 @@
       run.on_progress = [&](const RunProgress& progress) { print(experiment, build, seed, progress); };
     auto result = run_experiment(experiment, build, seed, run);
     if (show_progress) std::cerr << "\r\033[K";
-    Report report{build.name, seed, figures_of(experiment, result)};
-    rules_kept_ = rules_kept_ && report.figures.verdict.kept();
+    Report report{build.name, seed, compute_metrics(experiment, result)};
+    rules_kept_ = rules_kept_ && report.metrics.verdict.kept();
     return report;
   }
 
-  // Runs it, prints its figures, and keeps its report for write_reports().
+  // Runs the experiment, prints the metrics, and keeps the report for write_reports().
   const Report& run_and_print(const Experiment& experiment, const BuildSpec& build, std::uint64_t seed) {
     reports_.push_back(run(experiment, build, seed));
     std::cout << text_report(experiment, reports_.back()) << std::flush;
     return reports_.back();
   }
 
-  // As `base`.json and `base`.html.
+  // Writes `base`.json and `base`.html.
   void write_reports(const Experiment& experiment, const std::string& base) const {
     write_file(base + ".json", json_report(experiment, reports_));
     write_file(base + ".html", html_report(experiment, reports_));
@@ -94,7 +95,7 @@
                     const RunProgress& progress) {
     std::cerr << "\r" << experiment.name << " " << build.name << " seed " << seed << ": "
               << static_cast<long>(std::max(0.0, progress.at_ms) / 1000) << " of " << experiment.seconds
-              << " s, asked " << progress.sent << ", answered " << progress.answered << ", delivered "
+              << " s, sent " << progress.sent << ", answered " << progress.answered << ", succeeded "
               << progress.succeeded << "   " << std::flush;
   }
 
@@ -114,23 +115,24 @@
   else if (parameter == "workers")
     experiment.workers = static_cast<int>(value);
   else
-    throw UsageError("sweep goes over rate, servers, connections or workers");
-  if (!(value >= 1)) throw UsageError("sweep: no value: " + text);
+    throw UsageError("unknown sweep parameter " + parameter + ": rate, servers, connections or workers");
+  if (!(value >= 1)) throw UsageError("sweep value of " + parameter + " must be at least 1: " + text);
 }
 
 void print_sweep_header(const std::string& parameter) {
-  std::printf("%-18s %10s %9s %9s %9s %9s %9s %9s %11s %9s %9s\n", "build", parameter.c_str(), "asked/s",
-              "good/s", "bounced%", "other%", "p50 ms", "p99 ms", "balancer us", "load us", "lag p99");
+  std::printf("%-18s %10s %9s %9s %9s %9s %9s %9s %11s %9s %9s\n", "build", parameter.c_str(), "offered/s",
+              "goodput/s", "rejected%", "other%", "p50 ms", "p99 ms", "balancer us", "load us", "delay p99");
 }
 
 void print_sweep_line(const Report& report, const std::string& value, double seconds) {
-  const auto& f = report.figures;
-  double requests = std::max<double>(1, static_cast<double>(f.requests));
+  const auto& metrics = report.metrics;
+  double requests = std::max<double>(1, static_cast<double>(metrics.requests));
   std::printf("%-18s %10s %9.0f %9.0f %9.2f %9.2f %9.3f %9.3f %11.1f %9.1f %9.3f%s\n", report.build.c_str(),
-              value.c_str(), requests / seconds, f.goodput, 100 * static_cast<double>(f.rejected) / requests,
-              100 * static_cast<double>(f.failed + f.unserved + f.late) / requests, f.latency.quantile(0.5),
-              f.latency.quantile(0.99), f.balancer_us, f.load_us, f.send_delay_p99_ms,
-              f.verdict.kept() ? "" : "  a rule is broken");
+              value.c_str(), requests / seconds, metrics.goodput,
+              100 * static_cast<double>(metrics.rejected) / requests,
+              100 * static_cast<double>(metrics.failed + metrics.unserved + metrics.late) / requests,
+              metrics.latency.quantile(0.5), metrics.latency.quantile(0.99), metrics.balancer_us,
+              metrics.load_us, metrics.send_delay_p99_ms, metrics.verdict.kept() ? "" : "  rule violated");
   std::fflush(stdout);
 }
 
@@ -146,7 +148,7 @@
         if (!session.stopped()) session.run_and_print(experiment, build, seed);
   auto base = options.folder + "/" + experiment.name;
   session.write_reports(experiment, base);
-  std::cout << "figures in " << base << ".json, the page with plots: " << base << ".html\n";
+  std::cout << "reports: " << base << ".json, " << base << ".html\n";
   return session.stopped() ? exit_stopped : session.exit_status();
 }
 
@@ -154,20 +156,20 @@
                     const CommandOptions& options) {
   auto a = require_build(experiment, build_a);
   auto b = require_build(experiment, build_b);
-  std::vector<Figures> figures_a;
-  std::vector<Figures> figures_b;
+  std::vector<RunMetrics> metrics_a;
+  std::vector<RunMetrics> metrics_b;
   Session session(options);
   for (int round = 0; round < experiment.repetitions; ++round)
     for (std::size_t i = 0; i < options.seeds.size(); ++i) {
-      // In turn, and every other pair in the opposite order, so that a drift of the machine favours neither.
+      // Alternates which build of a pair runs first, so that a drift of the machine favours neither.
       bool swapped = (i + static_cast<std::size_t>(round)) % 2 == 1;
       for (bool second : {swapped, !swapped}) {
         if (session.stopped()) return exit_stopped;
         const auto& report = session.run_and_print(experiment, second ? b : a, options.seeds[i]);
-        (second ? figures_b : figures_a).push_back(report.figures);
+        (second ? metrics_b : metrics_a).push_back(report.metrics);
       }
     }
-  std::cout << difference_table(build_a, build_b, differences(figures_a, figures_b));
+  std::cout << difference_table(build_a, build_b, differences(metrics_a, metrics_b));
   session.write_reports(experiment, options.folder + "/" + experiment.name + "-compare");
   return session.exit_status();
 }
--- a/src/testbed/commands.hpp
+++ b/src/testbed/commands.hpp
@@ -1,5 +1,5 @@
-// The commands of meadowgauge-testbed that run experiments. Each gives the program's exit status: 0, all
-// rules were kept; 3, one was broken; 130, stopped.
+// The commands of meadowgauge-testbed that run experiments. Each returns the program's exit status: 0, all
+// rules were kept; 3, a rule was violated; 130, stopped by a signal.
 #pragma once
 
 #include <atomic>
@@ -12,13 +12,13 @@
 
 namespace meadowgauge::testbed {
 
-// The command line asks for what can't be done; nothing has been started.
+// The command line is invalid; nothing has been started.
 struct UsageError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 struct CommandOptions {
-  std::string folder;  // for figures, pages and logs
+  std::string folder;  // for reports and logs
   bool pin = false, quiet = false;
   std::vector<std::uint64_t> seeds;
   const std::atomic<bool>* stop = nullptr;  // set by a signal; not null
@@ -28,7 +28,7 @@
 // experiment, is the path of a program, or is `direct`. Throws UsageError for an unknown one.
 int run_command(const Experiment& experiment, const std::vector<std::string>& build_names,
                 const CommandOptions& options);
-// Runs two builds in turn on the same seeds and prints the differences of their figures.
+// Runs two builds alternately on the same seeds and prints the differences of their metrics.
 int compare_command(const Experiment& experiment, const std::string& build_a, const std::string& build_b,
                     const CommandOptions& options);
 // Runs the experiment over values of `parameter` (rate, servers, connections or workers), a line each.
--- a/src/testbed/comparison.cpp
+++ b/src/testbed/comparison.cpp
@@ -10,54 +10,65 @@
 
 namespace {
 
-struct Figure {
+struct Metric {
   const char *name, *unit;
-  double (*of)(const Figures&);
+  double (*of)(const RunMetrics&);
 };
 
-// Over all faults, s. One that the run does not recover from counts as the rest of the run.
-double mean_recovery_s(const Figures& f) {
-  if (f.recoveries.empty()) return 0;
-  const double run_ms = static_cast<double>(f.slices.size()) * f.slice_ms;
+// The mean over all faults, in seconds. Without a recovery the rest of the run counts.
+double mean_recovery_s(const RunMetrics& metrics) {
+  if (metrics.recoveries.empty()) return 0;
+  const double run_ms = static_cast<double>(metrics.slices.size()) * metrics.slice_ms;
   double sum_s = 0;
-  for (const auto& recovery : f.recoveries)
+  for (const auto& recovery : metrics.recoveries)
     sum_s += recovery.after_ms.value_or(run_ms - recovery.until_ms) / 1000;
-  return sum_s / static_cast<double>(f.recoveries.size());
+  return sum_s / static_cast<double>(metrics.recoveries.size());
 }
 
-constexpr auto compared = std::to_array<Figure>({
-    {"earnings", "", [](const Figures& f) { return f.weighted_success; }},
-    {"earnings, worst 2 s", "", [](const Figures& f) { return f.worst_weighted_success; }},
-    {"within target", "%", [](const Figures& f) { return percent_of_requests(f.within_objective, f); }},
-    {"bounced", "%", [](const Figures& f) { return percent_of_requests(f.rejected, f); }},
-    {"errored or unserved", "%",
-     [](const Figures& f) { return percent_of_requests(f.failed + f.unserved, f); }},
-    {"median", "ms", [](const Figures& f) { return f.latency.quantile(0.5); }},
-    {"99th hundredth", "ms", [](const Figures& f) { return f.latency.quantile(0.99); }},
-    {"tries a visit", "", [](const Figures& f) { return f.attempts_per_request; }},
-    {"fetches a visit", "",
-     [](const Figures& f) { return f.attempts_per_tier.empty() ? 0 : f.attempts_per_tier.front(); }},
-    {"recovery, mean", "s", mean_recovery_s},
-    {"limit, admitted", "1/s", [](const Figures& f) { return f.limits.empty() ? 0 : f.limits.front().mean; }},
-    {"limit, most over", "visits",
-     [](const Figures& f) { return f.limits.empty() ? 0 : f.limits.front().max_excess; }},
-    {"balancers", "us a visit", [](const Figures& f) { return f.balancer_us; }},
-    {"breaches", "", [](const Figures& f) { return static_cast<double>(f.verdict.violations.size()); }},
+constexpr auto compared = std::to_array<Metric>({
+    {"weighted success", "", [](const RunMetrics& metrics) { return metrics.weighted_success; }},
+    {"weighted success, worst", "", [](const RunMetrics& metrics) { return metrics.worst_weighted_success; }},
+    {"within objective", "%",
+     [](const RunMetrics& metrics) { return percent_of_requests(metrics.within_objective, metrics); }},
+    {"rejected", "%",
+     [](const RunMetrics& metrics) { return percent_of_requests(metrics.rejected, metrics); }},
+    {"failed or unserved", "%",
+     [](const RunMetrics& metrics) {
+       return percent_of_requests(metrics.failed + metrics.unserved, metrics);
+     }},
+    {"latency p50", "ms", [](const RunMetrics& metrics) { return metrics.latency.quantile(0.5); }},
+    {"latency p99", "ms", [](const RunMetrics& metrics) { return metrics.latency.quantile(0.99); }},
+    {"attempts per request", "", [](const RunMetrics& metrics) { return metrics.attempts_per_request; }},
+    {"upstream attempts", "",
+     [](const RunMetrics& metrics) {
+       return metrics.attempts_per_tier.empty() ? 0 : metrics.attempts_per_tier.front();
+     }},
+    {"mean recovery time", "s", mean_recovery_s},
+    {"limit, admitted", "1/s",
+     [](const RunMetrics& metrics) { return metrics.limits.empty() ? 0 : metrics.limits.front().mean; }},
+    {"limit, max excess", "requests",
+     [](const RunMetrics& metrics) {
+       return metrics.limits.empty() ? 0 : metrics.limits.front().max_excess;
+     }},
+    {"balancer CPU", "us/request", [](const RunMetrics& metrics) { return metrics.balancer_us; }},
+    {"violations", "",
+     [](const RunMetrics& metrics) { return static_cast<double>(metrics.verdict.violations.size()); }},
 });
 
-Difference difference_of(const Figure& figure, const std::vector<Figures>& a, const std::vector<Figures>& b) {
+Difference difference_of(const Metric& metric, const std::vector<RunMetrics>& a,
+                         const std::vector<RunMetrics>& b) {
   auto pairs = std::min(a.size(), b.size());
   auto count = static_cast<double>(pairs);
-  Difference difference{.name = figure.name, .unit = figure.unit, .pairs = pairs};
+  Difference difference{.name = metric.name, .unit = metric.unit, .pairs = pairs};
   for (std::size_t i = 0; i < pairs; ++i) {
-    difference.a += figure.of(a[i]) / count;
-    difference.b += figure.of(b[i]) / count;
+    difference.a += metric.of(a[i]) / count;
+    difference.b += metric.of(b[i]) / count;
   }
   difference.mean = difference.b - difference.a;
   if (pairs < 2) return difference;
   double squares = 0;
   for (std::size_t i = 0; i < pairs; ++i) {
-    double deviation = figure.of(b[i]) - figure.of(a[i]) - difference.mean;
+    double deviation = metric.of(b[i]) - metric.of(a[i]) - difference.mean;
     squares += deviation * deviation;
   }
   difference.spread = std::sqrt(squares / (count - 1));
@@ -67,10 +78,10 @@
 
 }  // namespace
 
-std::vector<Difference> differences(const std::vector<Figures>& a, const std::vector<Figures>& b) {
+std::vector<Difference> differences(const std::vector<RunMetrics>& a, const std::vector<RunMetrics>& b) {
   std::vector<Difference> all;
   all.reserve(compared.size());
-  for (const auto& figure : compared) all.push_back(difference_of(figure, a, b));
+  for (const auto& metric : compared) all.push_back(difference_of(metric, a, b));
   return all;
 }
 
--- a/src/testbed/comparison.hpp
+++ b/src/testbed/comparison.hpp
@@ -1,11 +1,11 @@
-// Two builds on the same seeds: the difference of each figure, its mean and its spread over the pairs.
+// Two builds on the same seeds: the difference of each metric, its mean and its spread over the pairs.
 #pragma once
 
 #include <cstddef>
 #include <string>
 #include <vector>
 
-#include "testbed/figures.hpp"
+#include "testbed/run_metrics.hpp"
 
 namespace meadowgauge::testbed {
 
@@ -18,8 +18,8 @@
   std::size_t pairs = 0;
 };
 
-// Of each figure. Runs are paired by their place; what one vector has more than the other is left out.
-std::vector<Difference> differences(const std::vector<Figures>& a, const std::vector<Figures>& b);
+// The difference of each metric. Runs are paired by index; unpaired runs are ignored.
+std::vector<Difference> differences(const std::vector<RunMetrics>& a, const std::vector<RunMetrics>& b);
 // A table for people, with the names of the builds.
 std::string difference_table(const std::string& name_a, const std::string& name_b,
                              const std::vector<Difference>& differences);
--- a/src/testbed/fault_relay.cpp
+++ b/src/testbed/fault_relay.cpp
@@ -1,9 +1,11 @@
 #include "testbed/fault_relay.hpp"
 
 #include <algorithm>
+#include <array>
 #include <memory>
 #include <optional>
 #include <stdexcept>
+#include <string_view>
 
 #include "testbed/stand_ins/command_server.hpp"
 #include "testbed/stand_ins/relay.hpp"
@@ -14,7 +16,7 @@
 
 transport::Address read_address(const std::string& option, const std::string& text) {
   auto address = transport::Address::parse(text);
-  if (!address) throw std::runtime_error(option + " is no address with a port: " + text);
+  if (!address) throw std::runtime_error(option + " is not an address with a port: " + text);
   return *address;
 }
 
@@ -22,7 +24,7 @@
   if (text.empty()) return {};
   auto address = read_address("--control", text);
   if (!address.text().starts_with("127.") && !address.text().starts_with("[::1]"))
-    throw std::runtime_error("--control is not on loopback: " + text);
+    throw std::runtime_error("--control is not a loopback address: " + text);
   return address;
 }
 
@@ -31,11 +33,11 @@
   for (const auto& text : texts) {
     auto parsed = FaultInjection::parse(text);
     if (const auto* error = std::get_if<FaultInjectionError>(&parsed))
-      throw std::runtime_error("strike '" + text + "': " + error->text());
+      throw std::runtime_error("fault '" + text + "': " + error->text());
     injections.push_back(std::get<FaultInjection>(std::move(parsed)));
   }
   if (injections.size() > InjectionPlan::max_entries)
-    throw std::runtime_error("more than " + std::to_string(InjectionPlan::max_entries) + " strikes");
+    throw std::runtime_error("more than " + std::to_string(InjectionPlan::max_entries) + " faults");
   return injections;
 }
 
@@ -47,21 +49,23 @@
          (injection ? injection->text() : "cleared since");
 }
 
-// Answers the commands of `fault`.
+// Answers the commands of the control socket.
 class Commands {
  public:
   Commands(TestbedContext& context, InjectionPlan& plan, const Relay& relay, double begin_ms)
       : context_(context), plan_(plan), relay_(relay), begin_ms_(begin_ms) {}
 
   std::string operator()(const std::string& line) {
-    constexpr std::string_view add_command = "strike ";
+    // `strike` is the previous release's name of `inject`, accepted until the next one.
+    constexpr auto add_commands = std::to_array<std::string_view>({"inject ", "strike "});
     if (line == "clear") {
       plan_.clear();
       return "ok\n";
     }
     if (line == "status") return status();
-    if (line.starts_with(add_command)) return add(std::string_view(line).substr(add_command.size()));
-    return "no: strike, clear or status\n";
+    for (auto command : add_commands)
+      if (line.starts_with(command)) return add(std::string_view(line).substr(command.size()));
+    return "no: unknown command, use inject, clear or status\n";
   }
 
  private:
@@ -73,7 +77,7 @@
     return text + "ok\n";
   }
 
-  // Its times count from now, those of the plan from the begin.
+  // Shifts the fault's times: they count from now, those of the plan from the begin.
   std::string add(std::string_view text) {
     auto parsed = FaultInjection::parse(text);
     if (const auto* error = std::get_if<FaultInjectionError>(&parsed)) return "no: " + error->text() + "\n";
@@ -84,7 +88,8 @@
     if (injection.position == FaultInjection::Position::time)
       injection.n += static_cast<std::uint64_t>(since_begin_ms);
     if (plan_.add(std::move(injection))) return "ok\n";
-    return "no: " + std::to_string(InjectionPlan::max_entries) + " strikes stand already; clear them\n";
+    return "no: the plan holds " + std::to_string(InjectionPlan::max_entries) +
+           " faults already, clear them first\n";
   }
 
   TestbedContext& context_;
@@ -93,7 +98,7 @@
   double begin_ms_;
 };
 
-// Writes what has been injected since `written`, as far as the relay still holds it.
+// Writes the faults injected after the first `written` ones, unless the relay has dropped their records.
 void write_new_faults(const Relay& relay, const InjectionPlan& plan, std::uint64_t& written,
                       std::ostream& out) {
   const auto& injected = relay.injected();
--- a/src/testbed/fault_relay.hpp
+++ b/src/testbed/fault_relay.hpp
@@ -1,5 +1,4 @@
-// `meadowgauge-testbed fault`: one relay with the faults of a plan, and a socket that takes commands while it
-// runs.
+// `meadowgauge-testbed fault`: one relay with the faults of a plan, and a command socket to change the plan.
 #pragma once
 
 #include <atomic>
@@ -16,14 +15,14 @@
   std::uint64_t seed = 1;
 };
 
-// Relays until `stop` is set; gives the exit status. Writes to `out` where it listens, and each injected
-// fault as it happens. Throws std::runtime_error for options that can't be read, before it listens, and
-// std::system_error where it can't listen.
+// Relays until `stop` is set; returns the exit status. Writes to `out` the listening addresses and each
+// injected fault. Throws std::runtime_error for invalid options, before it listens, and std::system_error if
+// it cannot listen.
 //
 // Commands, a line each, answered with lines that end with `ok` or `no: why`:
-//   strike TEXT     adds a fault; its times count from now
-//   clear           injects nothing any more; what was done to connections stays so
-//   status          connections, bytes in each direction, what was injected where
+//   inject TEXT     adds a fault; its times count from now
+//   clear           removes all faults; faults already injected into connections keep their effect
+//   status          connections, bytes in each direction, injected faults with their positions
 int run_fault_relay(const FaultRelayOptions& options, std::ostream& out, const std::atomic<bool>& stop);
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/history.hpp
+++ b/src/testbed/history.hpp
@@ -13,7 +13,7 @@
 
 namespace meadowgauge::testbed {
 
-// The time of an event that has not happened.
+// Stands for the time of an event that has not happened.
 inline constexpr double never = std::numeric_limits<double>::infinity();
 
 // How an attempt ended for the client that made it.
@@ -36,9 +36,9 @@
   int tier = 0, number = 1;   // which of the request's attempts, from 1
   int request_class = 0, tenant = 0;
   int balancer = -1;          // of the tier; -1: no connection was chosen
-  double intended_ms = 0;     // when it should have been sent
-  double written_ms = never;  // when its last byte was written
-  double deadline_ms = 0;     // the client gives up
+  double intended_ms = 0;     // scheduled send time
+  double written_ms = never;  // the last byte was written
+  double deadline_ms = 0;     // the client timeout expires
   double ended_ms = never;    // by the clock reading at the begin of the client's turn
   double received_by_ms = 0;  // a reading after the response's last byte; 0: there was no response
   Outcome outcome = Outcome::timed_out;
@@ -52,12 +52,12 @@
 struct ServerRecord {
   enum class Result : std::uint8_t {
     incomplete,  // not all of the request arrived
-    rejected,    // answered that it never ran
-    duplicate,   // dropped by its idempotency key, and answered
-    failed,      // answered with an error; whoever asked must assume that it ran
+    rejected,    // answered with a rejection; never executed
+    duplicate,   // deduplicated by its idempotency key, and answered
+    failed,      // answered with an error; the caller must assume execution
     queued,      // accepted, not started
     abandoned,   // accepted, and its connection ended before it started
-    executed     // started: it has had its effect
+    executed     // started: the effect has taken place
   };
   std::string id, key;
   int tier = 0, server = 0, incarnation = 0;  // which of the server's starts
@@ -67,18 +67,18 @@
   double started_ms = never, answered_ms = never;
 };
 
-// Discovery has written to a balancer that a server drains or is gone (or is back).
+// Discovery has notified a balancer that a server drains, is removed, or is active again.
 struct EndpointNotification {
   int tier = 0, balancer = 0, server = 0;
   bool drains = false;
   double at_ms = 0;
 };
 
-// A balancer process was killed or stopped by the plan, or exited by itself.
+// A balancer process was killed or terminated by the experiment, or crashed.
 struct BalancerExit {
   enum class Cause : std::uint8_t { killed, planned, crashed };
   int tier = 0, balancer = 0;
-  double at_ms = 0;  // when the signal was sent; of a crash, when it was noticed
+  double at_ms = 0;  // when the signal was sent; for a crash, when the testbed detected it
   Cause cause = Cause::killed;
   double exited_ms = 0;  // when the process had exited
 };
@@ -89,7 +89,7 @@
   double at_ms = 0;
 };
 
-// A balancer that the plan stopped with SIGSTOP.
+// A balancer that the experiment paused with SIGSTOP.
 struct BalancerPause {
   int tier = 0, balancer = 0;
   double from_ms = 0, until_ms = never;
--- a/src/testbed/html_plot.hpp
+++ b/src/testbed/html_plot.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "testbed/figures.hpp"
+#include "testbed/run_metrics.hpp"
 
 namespace meadowgauge::testbed {
 
@@ -15,7 +15,7 @@
   std::function<double(const Slice&)> value;
 };
 
-std::string svg_plot(const Experiment& experiment, const Figures& figures, const std::string& title,
+std::string svg_plot(const Experiment& experiment, const RunMetrics& metrics, const std::string& title,
                      const std::string& unit, const std::vector<Series>& series);
 
 // Text as it may stand in HTML and in its attributes.
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -17,7 +17,9 @@
 using namespace meadowgauge::testbed;
 
 constexpr int exit_usage = 2;
-constexpr int max_servers = 5000, max_connections = 100000;
+constexpr const char* visible_options = "";  // the unnamed option group; `deprecated` is hidden
+constexpr int max_servers = 5000;
+constexpr int max_connections = 100000;
 
 std::atomic<bool> stop_requested{false};
 void on_stop_signal(int) { stop_requested = true; }
@@ -30,33 +32,38 @@
 cxxopts::Options command_line_options() {
   cxxopts::Options options(
       "meadowgauge-testbed",
-      "Runs experiments on loopback: stand-in servers and clients, real balancers, faults.");
+      "Runs experiments on loopback: stand-in servers and clients, real balancers, injected faults.");
   options.positional_help(
       "run FILE [BUILD...] | compare FILE A B | sweep FILE PARAMETER VALUES [BUILD...] | check FILE | fault");
   auto add = options.add_options();
   add("command", "", cxxopts::value<std::string>());
   add("rest", "", cxxopts::value<Words>());
-  add("out", "folder for figures, pages and logs",
-      cxxopts::value<std::string>()->default_value("rehearsal-out"));
-  add("seeds", "seeds in place of the file's, with commas", cxxopts::value<std::vector<std::uint64_t>>());
-  add("seconds", "length of the run in place of the file's", cxxopts::value<double>());
-  add("rate", "requests a second in place of the file's", cxxopts::value<double>());
-  add("servers", "servers of the first tier in place of the file's", cxxopts::value<int>());
-  add("connections", "kept client connections in place of the file's", cxxopts::value<int>());
-  add("pin", "servers, load generator and balancers each on a core of their own");
-  add("quiet", "no progress");
-  add("listen", "fault: where to listen", cxxopts::value<std::string>());
-  add("to", "fault: where to dial", cxxopts::value<std::string>());
-  add("control", "fault: where commands are taken, on loopback", cxxopts::value<std::string>());
-  add("strike", "fault: a fault to inject, may be given several times", cxxopts::value<Words>());
-  add("plan", "fault: an experiment file whose strikes are injected", cxxopts::value<std::string>());
-  add("seed", "fault: the seed of what is drawn", cxxopts::value<std::uint64_t>()->default_value("1"));
-  add("h,help", "this text");
+  add("out", "folder for reports and logs", cxxopts::value<std::string>()->default_value("testbed-out"));
+  add("seeds", "overrides the file's seeds, separated by commas",
+      cxxopts::value<std::vector<std::uint64_t>>());
+  add("seconds", "overrides the file's length of the run, in seconds", cxxopts::value<double>());
+  add("rate", "overrides the file's requests per second", cxxopts::value<double>());
+  add("servers", "overrides the file's number of servers of the first tier", cxxopts::value<int>());
+  add("connections", "overrides the file's number of persistent client connections", cxxopts::value<int>());
+  add("pin", "pins servers, load generator and each balancer to a core of its own");
+  add("quiet", "shows no progress");
+  add("listen", "fault: the address to listen on", cxxopts::value<std::string>());
+  add("to", "fault: the address to connect to", cxxopts::value<std::string>());
+  add("control", "fault: the loopback address of the command socket", cxxopts::value<std::string>());
+  add("fault", "fault: a fault to inject, may be given several times", cxxopts::value<Words>());
+  add("fault-file", "fault: an experiment file whose injected faults are used",
+      cxxopts::value<std::string>());
+  add("seed", "fault: the seed of random choices", cxxopts::value<std::uint64_t>()->default_value("1"));
+  add("h,help", "prints this text");
+  // The names of the previous release, accepted until the next one.
+  auto add_deprecated = options.add_options("deprecated");
+  add_deprecated("strike", "the same as --fault", cxxopts::value<Words>());
+  add_deprecated("plan", "the same as --fault-file", cxxopts::value<std::string>());
   options.parse_positional({"command", "rest"});
   return options;
 }
 
-// Each connection of a run takes a descriptor on either side.
+// Each connection of a run uses a descriptor on either side.
 void raise_descriptor_limit() {
   rlimit files{};
   if (getrlimit(RLIMIT_NOFILE, &files) != 0) return;
@@ -64,24 +71,33 @@
   setrlimit(RLIMIT_NOFILE, &files);
 }
 
+void append(Words& all, const Words& more) { all.insert(all.end(), more.begin(), more.end()); }
+
+Words faults_in_file(const std::string& path) {
+  Words faults;
+  for (const auto& injection : Experiment::read(path).injections) faults.push_back(injection.text());
+  return faults;
+}
+
 int fault_command(const Arguments& arguments) {
   if (!is_given(arguments, "listen") || !is_given(arguments, "to"))
-    throw UsageError("fault wants --listen and --to");
+    throw UsageError("fault needs --listen and --to");
   FaultRelayOptions options;
   options.listen = arguments["listen"].as<std::string>();
   options.to = arguments["to"].as<std::string>();
   if (is_given(arguments, "control")) options.control = arguments["control"].as<std::string>();
-  if (is_given(arguments, "strike")) options.injections = arguments["strike"].as<Words>();
-  if (is_given(arguments, "plan"))
-    for (const auto& injection : Experiment::read(arguments["plan"].as<std::string>()).injections)
-      options.injections.push_back(injection.text());
+  for (const char* option : {"fault", "strike"})
+    if (is_given(arguments, option)) append(options.injections, arguments[option].as<Words>());
+  for (const char* option : {"fault-file", "plan"})
+    if (is_given(arguments, option))
+      append(options.injections, faults_in_file(arguments[option].as<std::string>()));
   options.seed = arguments["seed"].as<std::uint64_t>();
   return run_fault_relay(options, std::cout, stop_requested);
 }
 
 int check_command(const std::string& file, const Experiment& experiment) {
   std::cout << file << ": " << experiment.tiers.size() << " tiers, " << experiment.faults.size()
-            << " faults, " << experiment.injections.size() << " strikes, " << experiment.builds.size()
+            << " faults, " << experiment.injections.size() << " injected faults, " << experiment.builds.size()
             << " builds, " << experiment.seeds.size() << " seeds\n";
   return 0;
 }
@@ -105,9 +121,9 @@
   return options;
 }
 
-// `words`: the parameter, then values and builds in any order. What is a number is a value.
+// `words`: the parameter, then values and builds in any order. Numbers are values.
 int sweep_words(const Experiment& experiment, Words words, const CommandOptions& options) {
-  if (words.size() < 2) throw UsageError("sweep wants a file, a figure's name and its values with commas");
+  if (words.size() < 2) throw UsageError("sweep needs a file, a parameter and at least one value");
   auto first_build = std::stable_partition(words.begin() + 1, words.end(), [](const std::string& text) {
     return text.find_first_not_of("0123456789.") == std::string::npos;
   });
@@ -115,14 +131,14 @@
                        options);
 }
 
-// A command that runs experiments; `words`: what follows the file's name.
+// A command that runs experiments; `words`: the arguments after the file's name.
 int experiment_command(const std::string& command, const Experiment& experiment, const Words& words,
                        const CommandOptions& options) {
   if (command == "run") return run_command(experiment, words, options);
   if (command == "sweep") return sweep_words(experiment, words, options);
   if (command != "compare")
     throw UsageError("unknown command " + command + ": run, compare, sweep, check or fault");
-  if (words.size() != 2) throw UsageError("compare wants a file and two builds");
+  if (words.size() != 2) throw UsageError("compare needs a file and two builds");
   return compare_command(experiment, words[0], words[1], options);
 }
 
@@ -130,7 +146,7 @@
   auto options = command_line_options();
   auto arguments = options.parse(argc, argv);
   if (is_given(arguments, "help") || !is_given(arguments, "command")) {
-    std::cout << options.help();
+    std::cout << options.help({visible_options});
     return is_given(arguments, "help") ? 0 : exit_usage;
   }
   signal(SIGPIPE, SIG_IGN);
@@ -138,7 +154,7 @@
   auto command = arguments["command"].as<std::string>();
   if (command == "fault") return fault_command(arguments);
   auto words = is_given(arguments, "rest") ? arguments["rest"].as<Words>() : Words{};
-  if (words.empty()) throw UsageError(command + " wants an experiment file");
+  if (words.empty()) throw UsageError(command + " needs an experiment file");
   auto file = words.front();
   words.erase(words.begin());
   auto experiment = Experiment::read(file);
--- a/src/testbed/report.hpp
+++ b/src/testbed/report.hpp
@@ -1,12 +1,12 @@
-// The figures of runs for people and for programs: a few lines of text, JSON, and one HTML page that needs no
-// other file. The JSON's keys and the names of rules are an interface; they stay as they are.
+// The metrics of runs for people and for programs: a few lines of text, JSON, and one HTML page that needs no
+// other file. The JSON's keys and the names of rules are an interface for scripts: CHANGELOG lists renames.
 #pragma once
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "testbed/figures.hpp"
+#include "testbed/run_metrics.hpp"
 
 namespace meadowgauge::testbed {
 
@@ -14,7 +14,7 @@
 struct Report {
   std::string build;
   std::uint64_t seed = 0;
-  Figures figures;
+  RunMetrics metrics;
 };
 
 std::string text_report(const Experiment& experiment, const Report& report);
--- a/src/testbed/figures.cpp
+++ b/src/testbed/run_metrics.cpp
@@ -1,4 +1,4 @@
-#include "testbed/figures.hpp"
+#include "testbed/run_metrics.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -9,15 +9,16 @@
 
 namespace {
 
-constexpr double recovery_window_ms = 1000;  // share and tail are taken over so much
-constexpr double before_window_ms = 4000;    // and compared with so much before the fault
-constexpr double settled_ms = 2000;          // from the begin, until quota leases have followed the traffic
-constexpr double worst_window_ms = 2000;
-constexpr double epsilon_ms = 1e-6;  // of rounding, where windows meet slices
-constexpr double any_tail_ms = 1e9;  // where nothing came before the fault
-constexpr double tail_quantile = 0.99;
+constexpr double recovery_window_ms = 1000;     // a recovery is judged over this window
+constexpr double before_window_ms = 4000;       // the reference window before a fault
+constexpr double lease_settling_ms = 2000;      // from the run's begin until quota leases match the traffic
+constexpr double worst_window_ms = 2000;        // the window of the worst weighted success
+constexpr double rounding_tolerance_ms = 1e-6;  // where window and slice boundaries coincide
+constexpr double unbounded_tail_ms = 1e9;       // the reference tail without requests before the fault
+constexpr double tail_latency_quantile = 0.99;  // share of the requests at or below the tail latency
 
-double at_least_one(std::uint64_t count) { return std::max<double>(1, static_cast<double>(count)); }
+// A count as a divisor that is never zero.
+double positive_count(std::uint64_t count) { return std::max<double>(1, static_cast<double>(count)); }
 
 // The first and the last attempt of a request.
 struct RequestAttempts {
@@ -31,7 +32,7 @@
   std::uint64_t offered = 0;
 };
 
-// How an outcome counts, with its latency where it succeeded.
+// Counts an outcome, with its latency if it succeeded.
 void count_outcome(Row& row, Outcome outcome, double latency_ms) {
   switch (outcome) {
     case Outcome::succeeded:
@@ -49,17 +50,17 @@
   }
 }
 
-class FiguresBuilder {
+class MetricsBuilder {
  public:
-  FiguresBuilder(const Experiment& experiment, const RunResult& run) : experiment_(experiment), run_(run) {}
+  MetricsBuilder(const Experiment& experiment, const RunResult& run) : experiment_(experiment), run_(run) {}
 
-  Figures build() {
-    figures_.verdict = check_history(run_.history, run_.contract);
-    figures_.stopped = run_.stopped;
+  RunMetrics build() {
+    metrics_.verdict = check_history(run_.history, run_.contract);
+    metrics_.stopped = run_.stopped;
     create_slices();
-    for (const auto& tenant : experiment_.tenants) figures_.tenants.push_back({.name = tenant.name});
+    for (const auto& tenant : experiment_.tenants) metrics_.tenants.push_back({.name = tenant.name});
     for (const auto& spec : experiment_.request_classes)
-      figures_.request_classes.push_back({.name = spec.name});
+      metrics_.request_classes.push_back({.name = spec.name});
     add_balancer_rows();
     add_server_rows();
     add_requests();
@@ -67,21 +68,21 @@
     for (const auto& fault : experiment_.faults) add_recovery(fault);
     add_costs();
     add_limits();
-    return std::move(figures_);
+    return std::move(metrics_);
   }
 
  private:
   void create_slices() {
-    auto count = static_cast<std::size_t>(std::ceil(run_.duration_ms / figures_.slice_ms));
-    figures_.slices.resize(std::max<std::size_t>(1, count));
-    for (std::size_t i = 0; i < figures_.slices.size(); ++i)
-      figures_.slices[i].at_ms = static_cast<double>(i) * figures_.slice_ms;
+    auto count = static_cast<std::size_t>(std::ceil(run_.duration_ms / metrics_.slice_ms));
+    metrics_.slices.resize(std::max<std::size_t>(1, count));
+    for (std::size_t i = 0; i < metrics_.slices.size(); ++i)
+      metrics_.slices[i].at_ms = static_cast<double>(i) * metrics_.slice_ms;
   }
 
-  // The slice of a time from the begin; the last one takes what comes after the end.
+  // The slice index of a time from the run's begin; times after the end count in the last slice.
   [[nodiscard]] std::size_t slice_at(double at_ms) const {
-    auto index = static_cast<std::size_t>(std::max(0.0, at_ms / figures_.slice_ms));
-    return std::min(figures_.slices.size() - 1, index);
+    auto index = static_cast<std::size_t>(std::max(0.0, at_ms / metrics_.slice_ms));
+    return std::min(metrics_.slices.size() - 1, index);
   }
 
   void add_balancer_rows() {
@@ -98,7 +99,7 @@
       ++it->second.received;
       count_outcome(it->second, attempt.outcome, attempt.ended_ms - attempt.intended_ms);
     }
-    for (auto& [key, row] : rows) figures_.balancers.push_back(std::move(row));
+    for (auto& [key, row] : rows) metrics_.balancers.push_back(std::move(row));
   }
 
   static void count_record(Row& row, const ServerRecord& record) {
@@ -124,8 +125,8 @@
       count_record(rows[{record.tier, record.server}], record);
       if (record.last_byte_ms != never) ++complete[static_cast<std::size_t>(record.tier)];
     }
-    for (auto& [key, row] : rows) figures_.servers.push_back(std::move(row));
-    for (auto count : complete) figures_.attempts_per_tier.push_back(static_cast<double>(count));
+    for (auto& [key, row] : rows) metrics_.servers.push_back(std::move(row));
+    for (auto count : complete) metrics_.attempts_per_tier.push_back(static_cast<double>(count));
   }
 
   void add_requests() {
@@ -139,25 +140,25 @@
       if (!request.last || attempt.number > request.last->number) request.last = &attempt;
     }
     for (const auto& [number, request] : requests) add_request(request);
-    double count = at_least_one(figures_.requests);
-    figures_.attempts_per_request = static_cast<double>(attempts) / count;
-    for (auto& per_request : figures_.attempts_per_tier) per_request /= count;
-    figures_.goodput = static_cast<double>(figures_.within_objective) / run_.duration_ms * 1000;
-    figures_.weighted_success = offered_weight_ > 0 ? earned_weight_ / offered_weight_ : 0;
+    double count = positive_count(metrics_.requests);
+    metrics_.attempts_per_request = static_cast<double>(attempts) / count;
+    for (auto& per_request : metrics_.attempts_per_tier) per_request /= count;
+    metrics_.goodput = static_cast<double>(metrics_.within_objective) / run_.duration_ms * 1000;
+    metrics_.weighted_success = offered_weight_ > 0 ? earned_weight_ / offered_weight_ : 0;
   }
 
   void add_request(const RequestAttempts& request) {
     const auto& first = *request.first;
     const auto& spec = experiment_.request_classes[static_cast<std::size_t>(first.request_class)];
-    auto& slice = figures_.slices[slice_at(first.intended_ms - run_.begin_ms)];
+    auto& slice = metrics_.slices[slice_at(first.intended_ms - run_.begin_ms)];
     double latency_ms = request.last->ended_ms - first.intended_ms;
     auto outcome = request.last->outcome;
-    ++figures_.requests;
+    ++metrics_.requests;
     ++slice.offered;
     slice.offered_weight += spec.priority_weight;
     offered_weight_ += spec.priority_weight;
-    for (auto* row : {&figures_.tenants[static_cast<std::size_t>(first.tenant)],
-                      &figures_.request_classes[static_cast<std::size_t>(first.request_class)]}) {
+    for (auto* row : {&metrics_.tenants[static_cast<std::size_t>(first.tenant)],
+                      &metrics_.request_classes[static_cast<std::size_t>(first.request_class)]}) {
       ++row->received;
       count_outcome(*row, outcome, latency_ms);
     }
@@ -165,37 +166,37 @@
       case Outcome::succeeded:
         return add_success(slice, spec, latency_ms);
       case Outcome::rejected:
-        ++figures_.rejected;
+        ++metrics_.rejected;
         ++slice.rejected;
         return;
       case Outcome::failed:
-        ++figures_.failed;
+        ++metrics_.failed;
         ++slice.failed;
         return;
       default:
-        ++figures_.unserved;
+        ++metrics_.unserved;
         ++slice.failed;
     }
   }
 
   void add_success(Slice& slice, const RequestClassSpec& spec, double latency_ms) {
-    figures_.latency.add(latency_ms);
+    metrics_.latency.add(latency_ms);
     slice.latency.add(latency_ms);
     if (latency_ms > spec.latency_objective_ms) {
-      ++figures_.late;
+      ++metrics_.late;
       ++slice.late;
       return;
     }
-    ++figures_.within_objective;
+    ++metrics_.within_objective;
     ++slice.within_objective;
     slice.earned_weight += spec.priority_weight;
     earned_weight_ += spec.priority_weight;
   }
 
   void find_worst_window() {
-    const auto& slices = figures_.slices;
-    auto width = std::max<std::size_t>(1, static_cast<std::size_t>(worst_window_ms / figures_.slice_ms));
-    figures_.worst_weighted_success = figures_.weighted_success;
+    const auto& slices = metrics_.slices;
+    auto width = std::max<std::size_t>(1, static_cast<std::size_t>(worst_window_ms / metrics_.slice_ms));
+    metrics_.worst_weighted_success = metrics_.weighted_success;
     for (std::size_t begin = 0; begin + width <= slices.size(); ++begin) {
       double offered = 0;
       double earned = 0;
@@ -204,29 +205,30 @@
         earned += slices[i].earned_weight;
       }
       if (offered > 0)
-        figures_.worst_weighted_success = std::min(figures_.worst_weighted_success, earned / offered);
+        metrics_.worst_weighted_success = std::min(metrics_.worst_weighted_success, earned / offered);
     }
   }
 
-  // Over the slices that lie wholly between these times from the begin.
+  // Covers the slices that lie completely between these times from the run's begin.
   [[nodiscard]] Window window(double from_ms, double until_ms) const {
     Window window;
     Histogram latency;
     std::uint64_t good = 0;
-    for (const auto& slice : figures_.slices) {
-      if (slice.at_ms < from_ms - epsilon_ms || slice.at_ms + figures_.slice_ms > until_ms + epsilon_ms)
+    for (const auto& slice : metrics_.slices) {
+      if (slice.at_ms < from_ms - rounding_tolerance_ms ||
+          slice.at_ms + metrics_.slice_ms > until_ms + rounding_tolerance_ms)
         continue;
       window.offered += slice.offered;
       good += slice.within_objective;
       latency.merge(slice.latency);
     }
     if (window.offered > 0) window.share = static_cast<double>(good) / static_cast<double>(window.offered);
-    window.tail_ms = latency.quantile(tail_quantile);
+    window.tail_ms = latency.quantile(tail_latency_quantile);
     return window;
   }
 
   [[nodiscard]] double slice_begin(double ms) const {
-    return std::floor(ms / figures_.slice_ms) * figures_.slice_ms;
+    return std::floor(ms / metrics_.slice_ms) * metrics_.slice_ms;
   }
 
   void add_recovery(const FaultSpec& fault) {
@@ -237,49 +239,50 @@
     auto before = window(std::max(0.0, from_ms - before_window_ms), from_ms);
     recovery.share_before = before.share;
     recovery.tail_before_ms = before.offered == 0 ? 0 : before.tail_ms;
-    if (before.offered == 0) before.tail_ms = any_tail_ms;
-    double during_end_ms = std::max(slice_begin(recovery.until_ms), from_ms + figures_.slice_ms);
+    if (before.offered == 0) before.tail_ms = unbounded_tail_ms;
+    double during_end_ms = std::max(slice_begin(recovery.until_ms), from_ms + metrics_.slice_ms);
     recovery.share_during = window(from_ms, during_end_ms).share;
     recovery.after_ms = time_to_recover(recovery.until_ms, before);
-    figures_.recoveries.push_back(std::move(recovery));
+    metrics_.recoveries.push_back(std::move(recovery));
   }
 
   [[nodiscard]] std::optional<double> time_to_recover(double fault_end_ms, const Window& before) const {
-    double least_share = before.share * (1 - experiment_.recovered_share);
-    double most_tail_ms = before.tail_ms * (1 + experiment_.recovered_tail);
-    double at_ms = std::ceil(fault_end_ms / figures_.slice_ms) * figures_.slice_ms;
-    for (; at_ms + recovery_window_ms <= run_.duration_ms + epsilon_ms; at_ms += figures_.slice_ms) {
+    double min_share = before.share * (1 - experiment_.recovered_share);
+    double max_tail_ms = before.tail_ms * (1 + experiment_.recovered_tail);
+    double at_ms = std::ceil(fault_end_ms / metrics_.slice_ms) * metrics_.slice_ms;
+    for (; at_ms + recovery_window_ms <= run_.duration_ms + rounding_tolerance_ms;
+         at_ms += metrics_.slice_ms) {
       auto now = window(at_ms, at_ms + recovery_window_ms);
-      if (now.share >= least_share && now.tail_ms <= most_tail_ms) return at_ms - fault_end_ms;
+      if (now.share >= min_share && now.tail_ms <= max_tail_ms) return at_ms - fault_end_ms;
     }
     return {};
   }
 
   void add_costs() {
-    double requests = at_least_one(figures_.requests);
-    figures_.load_us = run_.load_cpu_ms * 1000 / (requests * figures_.attempts_per_request);
+    double requests = positive_count(metrics_.requests);
+    metrics_.load_us = run_.load_cpu_ms * 1000 / (requests * metrics_.attempts_per_request);
     double cpu_ms = 0;
     for (const auto& usage : run_.balancers) cpu_ms += usage.cpu_ms;
-    figures_.balancer_us = cpu_ms * 1000 / requests;
-    figures_.send_delay_p50_ms = run_.send_delay.quantile(0.5);
-    figures_.send_delay_p99_ms = run_.send_delay.quantile(0.99);
-    figures_.send_delay_max_ms = run_.send_delay.max();
+    metrics_.balancer_us = cpu_ms * 1000 / requests;
+    metrics_.send_delay_p50_ms = run_.send_delay.quantile(0.5);
+    metrics_.send_delay_p99_ms = run_.send_delay.quantile(0.99);
+    metrics_.send_delay_max_ms = run_.send_delay.max();
   }
 
   void add_limits() {
     if (!experiment_.fleet) return;
-    // With the fleet's limits also where the build was not configured with them.
+    // Measures the fleet's limits even for builds that were not configured with them, for comparison.
     auto contract = experiment_.contract();
     for (const auto& limit : experiment_.fleet->limits)
-      figures_.limits.push_back(limit_row(limit, admission_history(run_.history, contract, limit)));
+      metrics_.limits.push_back(limit_row(limit, admission_history(run_.history, contract, limit)));
     double balancer_seconds = experiment_.tiers.front().balancers * run_.duration_ms / 1000;
-    figures_.datagrams_per_s = static_cast<double>(run_.datagrams) / balancer_seconds;
-    figures_.datagram_bytes_per_s = static_cast<double>(run_.datagram_bytes) / balancer_seconds;
+    metrics_.datagrams_per_s = static_cast<double>(run_.datagrams) / balancer_seconds;
+    metrics_.datagram_bytes_per_s = static_cast<double>(run_.datagram_bytes) / balancer_seconds;
   }
 
   [[nodiscard]] LimitRow limit_row(const FleetLimit& limit, const AdmissionHistory& admitted) const {
     auto or_all = [](const std::string& name) { return name.empty() ? std::string("*") : name; };
-    std::vector<double> no_slices(figures_.slices.size());
+    std::vector<double> no_slices(metrics_.slices.size());
     LimitRow row{.name = or_all(limit.tenant) + "/" + or_all(limit.request_class),
                  .rate = limit.rate,
                  .burst = limit.burst,
@@ -287,28 +290,28 @@
                  .slices = no_slices,
                  .by = std::vector<std::vector<double>>(
                      static_cast<std::size_t>(experiment_.tiers.front().balancers), no_slices)};
-    const double per_slice = 1000 / figures_.slice_ms;
-    const double per_run = 1000 / (run_.duration_ms - settled_ms);
+    const double per_slice = 1000 / metrics_.slice_ms;
+    const double per_run = 1000 / (run_.duration_ms - lease_settling_ms);
     for (const auto& [time_ms, balancer] : admitted.events) {
       double at_ms = time_ms - run_.begin_ms;
       auto slice = slice_at(at_ms);
       row.slices[slice] += per_slice;
       row.by[static_cast<std::size_t>(balancer)][slice] += per_slice;
-      if (at_ms >= settled_ms && at_ms < run_.duration_ms) row.mean += per_run;
+      if (at_ms >= lease_settling_ms && at_ms < run_.duration_ms) row.mean += per_run;
     }
     return row;
   }
 
   const Experiment& experiment_;
   const RunResult& run_;
-  Figures figures_;
+  RunMetrics metrics_;
   double offered_weight_ = 0, earned_weight_ = 0;
 };
 
 }  // namespace
 
-Figures figures_of(const Experiment& experiment, const RunResult& run) {
-  return FiguresBuilder(experiment, run).build();
+RunMetrics compute_metrics(const Experiment& experiment, const RunResult& run) {
+  return MetricsBuilder(experiment, run).build();
 }
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/figures.hpp
+++ b/src/testbed/run_metrics.hpp
@@ -1,4 +1,4 @@
-// The figures of a run, made of its history. Values only.
+// The metrics of a run, computed from its history. Values only.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace meadowgauge::testbed {
 
-// A stretch of the run; requests count where they should have been sent.
+// A time slice of the run; requests count at their scheduled send time.
 struct Slice {
   double at_ms = 0;  // from the begin of the run
   std::uint64_t offered = 0, within_objective = 0, late = 0, rejected = 0, failed = 0;
@@ -35,25 +35,25 @@
   double from_ms = 0, until_ms = 0;
   double share_before = 0, tail_before_ms = 0;  // share within the objective; 99th percentile
   double share_during = 0;
-  std::optional<double>
-      after_ms{};  // from the fault's end until share and tail are back; empty: not in this run
+  // From the fault's end until share and tail latency have recovered; empty if they don't in this run.
+  std::optional<double> after_ms{};
 };
 
-// What came of a limit over all balancers, by the servers' records.
+// Admissions under a limit over all balancers, from the servers' records.
 struct LimitRow {
   std::string name;
   double rate = 0, burst = 0;           // requests a second; requests
-  double mean = 0;                      // admitted a second, from when the leases have settled
-  double max_excess = 0;                // requests over the bound in the worst window; 0 or less: kept
+  double mean = 0;                      // admitted a second, once the quota leases have settled
+  double max_excess = 0;                // requests over the bound in the worst window; kept if at most 0
   std::vector<double> slices;           // admitted a second
   std::vector<std::vector<double>> by;  // admitted a second by balancer, in slices
 };
 
-struct Figures {
+struct RunMetrics {
   std::uint64_t requests = 0, within_objective = 0, late = 0, rejected = 0, failed = 0, unserved = 0;
-  double weighted_success = 0;        // priority weight within the objective, as a share of what was offered
-  double worst_weighted_success = 0;  // the same over the worst 2 s
-  double attempts_per_request = 0;    // of clients
+  double weighted_success = 0;            // priority weight within the objective over the offered weight
+  double worst_weighted_success = 0;      // the same over the worst 2 s
+  double attempts_per_request = 0;        // of clients
   std::vector<double> attempts_per_tier;  // complete ones at a tier's servers, per request of the first tier
   double goodput = 0;                     // requests within the objective a second
   Histogram latency;                      // ms
@@ -70,6 +70,6 @@
   bool stopped = false;
 };
 
-Figures figures_of(const Experiment& experiment, const RunResult& run);
+RunMetrics compute_metrics(const Experiment& experiment, const RunResult& run);
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/runner.hpp
+++ b/src/testbed/runner.hpp
@@ -15,7 +15,7 @@
 
 namespace meadowgauge::testbed {
 
-// What a run produced, before any figure is made of it.
+// What a run produced, before any metric is made of it.
 struct RunResult {
   std::string experiment, build;
   std::uint64_t seed = 0;
--- a/src/testbed/text_format.cpp
+++ b/src/testbed/text_format.cpp
@@ -16,8 +16,8 @@
   return buffer.data();
 }
 
-double percent_of_requests(std::uint64_t count, const Figures& figures) {
-  return 100.0 * static_cast<double>(count) / std::max<double>(1, static_cast<double>(figures.requests));
+double percent_of_requests(std::uint64_t count, const RunMetrics& metrics) {
+  return 100.0 * static_cast<double>(count) / std::max<double>(1, static_cast<double>(metrics.requests));
 }
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/text_format.hpp
+++ b/src/testbed/text_format.hpp
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "testbed/figures.hpp"
+#include "testbed/run_metrics.hpp"
 
 namespace meadowgauge::testbed {
 
@@ -15,6 +15,6 @@
 inline unsigned long long printable(std::uint64_t number) { return number; }
 
 // `count` as a percentage of a run's requests; 0 where there were none.
-double percent_of_requests(std::uint64_t count, const Figures& figures);
+double percent_of_requests(std::uint64_t count, const RunMetrics& metrics);
 
 }  // namespace meadowgauge::testbed
--- a/tests/testbed/day_test.cpp
+++ b/tests/testbed/day_test.cpp
@@ -3,16 +3,19 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <array>
+#include <cstdio>
 #include <cstdlib>
 #include <filesystem>
+#include <memory>
 #include <sstream>
 #include <string>
 #include <vector>
 
 #include "testbed/comparison.hpp"
-#include "testbed/figures.hpp"
 #include "testbed/fixtures.hpp"
 #include "testbed/report.hpp"
+#include "testbed/run_metrics.hpp"
 #include "testbed/runner.hpp"
 
 namespace meadowgauge::testbed {
@@ -109,7 +112,7 @@
         "throttle at=connect way=server rate=3000 every=29"})
     e.injections.push_back(parsed(text));
   auto result = run(e, MEADOWGAUGE_PROGRAM);
-  auto f = figures_of(e, result);
+  auto f = compute_metrics(e, result);
   for (const auto& violation : f.verdict.violations)
     ADD_FAILURE() << rule_name(violation.rule) << ": " << violation.description;
   EXPECT_GT(f.requests, 1500U);
@@ -126,7 +129,7 @@
   e.request_classes[0].downstream_calls = 2;
   e.request_classes[0].downstream_class = "deep";
   auto result = run(e, MEADOWGAUGE_PROGRAM);
-  auto f = figures_of(e, result);
+  auto f = compute_metrics(e, result);
   EXPECT_TRUE(f.verdict.kept());
   ASSERT_EQ(f.attempts_per_tier.size(), 2U);
   EXPECT_NEAR(f.attempts_per_tier[1], 2.0 / 3, 0.12);  // two calls from one request in three
@@ -145,7 +148,7 @@
 TEST_P(BrokenBalancer, IsCaughtAndNamed) {
   const auto& broken = GetParam();
   auto e = experiment(run_of_4_s + broken.rest);
-  auto f = figures_of(e, run(e, broken.program));
+  auto f = compute_metrics(e, run(e, broken.program));
   for (int i = 0; i < rule_count; ++i)
     EXPECT_EQ(f.verdict.kept(static_cast<Rule>(i)), static_cast<Rule>(i) != broken.rule)
         << rule_name(static_cast<Rule>(i));
@@ -172,7 +175,7 @@
 TEST(Run, ABalancerThatCrashesIsCaughtAndThatExcusesNothing) {
   auto e = experiment(run_of_4_s + one_tier);
   auto result = run(e, BROKEN_CRASH);
-  auto f = figures_of(e, result);
+  auto f = compute_metrics(e, result);
   EXPECT_FALSE(f.verdict.kept(Rule::no_crash));
   EXPECT_EQ(f.verdict.excused, 0U);
   for (auto r : {Rule::no_duplicate_effect, Rule::drains_respected, Rule::slow_start_respected})
@@ -188,10 +191,37 @@
   return WEXITSTATUS(std::system((command + " >/dev/null 2>&1").c_str()));
 }
 
+// Standard output and error of a command.
+std::string output_of(const std::string& command) {
+  std::unique_ptr<FILE, int (*)(FILE*)> pipe(popen((command + " 2>&1").c_str(), "r"), pclose);
+  std::string output;
+  std::array<char, 4096> buffer{};
+  while (pipe && std::fgets(buffer.data(), buffer.size(), pipe.get())) output += buffer.data();
+  return output;
+}
+
+TEST(TestbedProgram, FaultOptionsAcceptTheirDeprecatedNames) {
+  const std::string program = TESTBED_PROGRAM;
+  const std::string relay = program + " fault --listen 127.0.0.1:0 --to 127.0.0.1:1 ";
+  for (const char* option : {"--fault", "--strike"}) {
+    auto output = output_of(relay + option + " 'cut at=end' " + option + " smash");
+    EXPECT_NE(output.find("fault 'smash'"), std::string::npos) << option << ": " << output;
+  }
+  for (const char* option : {"--fault-file", "--plan"}) {
+    auto output = output_of(relay + option + " /nowhere/at/all.toml");
+    EXPECT_NE(output.find("/nowhere/at/all.toml"), std::string::npos) << option << ": " << output;
+  }
+  auto help = output_of(program + " --help");
+  EXPECT_NE(help.find("--fault-file"), std::string::npos) << help;
+  for (const char* deprecated : {"--strike", "--plan"})
+    EXPECT_EQ(help.find(deprecated), std::string::npos) << help;
+}
+
 TEST(TestbedProgram, AnUnreadableFileIsOneLineAndNothingIsStarted) {
   const std::string program = TESTBED_PROGRAM;
   EXPECT_EQ(exit_status(program + " run /nowhere/at/all.toml"), 1);
   EXPECT_EQ(exit_status(program + " fault --listen here --to there"), 1);
+  EXPECT_EQ(exit_status(program + " fault --listen 127.0.0.1:0 --to 127.0.0.1:1 --fault 'smash'"), 1);
   EXPECT_EQ(exit_status(program + " fault --listen 127.0.0.1:0 --to 127.0.0.1:1 --strike 'smash'"), 1);
   EXPECT_EQ(exit_status(program + " juggle x"), 1);
   EXPECT_EQ(exit_status(program + " --help"), 0);
@@ -202,7 +232,7 @@
 TEST(Reports, NameEveryRuleAndRowAndPairDifferences) {
   auto e = experiment("seconds = 1\n" + run_of_4_s.substr(run_of_4_s.find("[[path")) + one_tier);
   auto result = run(e, MEADOWGAUGE_PROGRAM);
-  Report r{"tested", 1, figures_of(e, result)};
+  Report r{"tested", 1, compute_metrics(e, result)};
   auto html = html_report(e, {r}), json = json_report(e, {r}), lines = text_report(e, r);
   for (int i = 0; i < rule_count; ++i) {
     auto name = std::string(rule_name(static_cast<Rule>(i)));
@@ -211,7 +241,7 @@
   for (const char* row : {"b-0-0", "b-0-1", "s-0-4"}) EXPECT_NE(html.find(row), std::string::npos) << row;
   EXPECT_NE(html.find("<polyline"), std::string::npos);
   EXPECT_EQ(html.find("http"), std::string::npos);  // it needs nothing else
-  Figures a = r.figures, b = r.figures, c = r.figures;
+  RunMetrics a = r.metrics, b = r.metrics, c = r.metrics;
   b.weighted_success = a.weighted_success - 0.1;
   c.weighted_success = a.weighted_success - 0.3;
   auto d = differences({a, a}, {b, c});
--- a/tests/testbed/fleet_test.cpp
+++ b/tests/testbed/fleet_test.cpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "testbed/figures.hpp"
 #include "testbed/fixtures.hpp"
+#include "testbed/run_metrics.hpp"
 #include "testbed/runner.hpp"
 
 namespace meadowgauge::testbed {
@@ -45,9 +45,9 @@
 }
 const std::string between_zones = "from = [\"0\", \"2\", \"4\"]\nto = [\"1\", \"3\", \"5\"]\n";
 
-struct FleetFigures {
-  Figures figures;
-  const LimitRow& row() const { return figures.limits.front(); }
+struct FleetRun {
+  RunMetrics metrics;
+  const LimitRow& row() const { return metrics.limits.front(); }
   // Admitted a second from `from` to `until` s, by these balancers or all.
   double admitted(double from, double until, const std::vector<std::size_t>& by = {0, 1, 2, 3, 4, 5}) const {
     double sum = 0;
@@ -67,11 +67,11 @@
   return run_experiment(e, build, 1, options);
 }
 
-FleetFigures run(double seconds, const std::string& text, const std::string& fleet = {}) {
+FleetRun run(double seconds, const std::string& text, const std::string& fleet = {}) {
   auto e = experiment("front_notices_ms = 50\nseconds = " + std::to_string(seconds) + "\n" + text + common +
                       fleet);
-  FleetFigures run{figures_of(e, run_program(e))};
-  for (const auto& violation : run.figures.verdict.violations)
+  FleetRun run{compute_metrics(e, run_program(e))};
+  for (const auto& violation : run.metrics.verdict.violations)
     ADD_FAILURE() << rule_name(violation.rule) << ": " << violation.description;
   for (std::size_t i = 0; i < run.row().slices.size(); ++i)
     std::printf("%s%.0f", i ? " " : "[ admitted ] ", run.row().slices[i]);
--- a/tests/testbed/relay_test.cpp
+++ b/tests/testbed/relay_test.cpp
@@ -209,17 +209,18 @@
   ASSERT_EQ(connect(fd.get(), control.raw(), control.size()), 0);
   auto command = [&](const std::string& text) { return send_command(fd.get(), text); };
   EXPECT_EQ(f.send("v1").outcome, Outcome::succeeded);
-  EXPECT_EQ(command("strike cut at=end after=1 most=1"), "ok\n");
+  EXPECT_EQ(command("inject cut at=end after=1 most=1"), "ok\n");
   EXPECT_EQ(f.send("v2").outcome, Outcome::keep_alive_race);
   EXPECT_EQ(f.send("v3").outcome, Outcome::succeeded);
   auto injected = command("status");
   EXPECT_NE(injected.find("message 2: cut at=end"), std::string::npos) << injected;
-  EXPECT_EQ(command("strike reset at=byte:0"), "ok\n");
+  EXPECT_EQ(command("strike reset at=byte:0"), "ok\n");  // the previous release's name of inject
   EXPECT_EQ(command("clear"), "ok\n");
   EXPECT_EQ(f.send("v4").outcome, Outcome::succeeded);
   auto status = command("status");
   EXPECT_NE(status.find("connections 2"), std::string::npos) << status;
   EXPECT_NE(status.find("message 2: cleared since"), std::string::npos) << status;
+  EXPECT_TRUE(command("inject smash").starts_with("no: "));
   EXPECT_TRUE(command("strike smash").starts_with("no: "));
   EXPECT_TRUE(command("juggle").starts_with("no: "));
   stop = true;
