--- a/src/testbed/model/datagram_fault.hpp
+++ b/src/testbed/model/datagram_fault.hpp
@@ -1,5 +1,5 @@
-// Faults between balancers: what becomes of each datagram on its way from one to another, by time and by
-// chance from the run's seed. Values only; times are milliseconds from the begin of the run.
+// Faults of the datagrams between balancers, by time and by random draws from the run's seed. Values only;
+// times are milliseconds from the begin of the run.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,11 @@
 
 struct DatagramFault {
   enum class Kind : std::uint8_t {
-    cut,        // nothing is delivered
-    drop,       // a share is lost
+    cut,        // no datagram is delivered
+    drop,       // a share of the datagrams is lost
     delay,      // a share is delivered `ms` later
-    duplicate,  // a share is delivered once more, `ms` later
-    reorder,    // a share is delivered up to `ms` later, each by another time
+    duplicate,  // a share is delivered a second time, `ms` later
+    reorder,    // a share is delivered with a random delay of up to `ms`
     corrupt     // a share has some of its bytes changed
   };
   Kind kind = Kind::cut;
@@ -27,7 +27,7 @@
   [[nodiscard]] bool applies(int sender, int receiver, double now_ms) const;
 };
 
-// The path from one balancer to one other.
+// The one-way path between two balancers.
 class DatagramPath {
  public:
   struct Delivery {
@@ -41,7 +41,7 @@
         to_(to),
         rng_(mixed(seed, "letters",
                    static_cast<std::uint64_t>(from) * 1000 + static_cast<std::uint64_t>(to))) {}
-  // The deliveries of a datagram that is sent now: none, one, or two.
+  // Returns the deliveries of a datagram sent at `now_ms`: none, one, or two.
   std::vector<Delivery> send(std::string bytes, double now_ms);
 
  private:
--- a/src/testbed/model/fault_injection.cpp
+++ b/src/testbed/model/fault_injection.cpp
@@ -17,7 +17,7 @@
 constexpr auto position_words =
     std::to_array<std::string_view>({"connect", "byte", "header", "body", "end", "time"});
 
-// A whole text that is a number of at least 0.
+// Reads a number of at least 0 that takes the complete text.
 template <class T>
 bool read_number(std::string_view text, T& into) {
   const auto number = protocol::parse_number<T>(text);
@@ -36,7 +36,7 @@
   return false;
 }
 
-// "N" or "N-M".
+// Reads "N" or "N-M".
 bool read_byte_range(std::string_view text, FaultInjection& into) {
   auto dash = text.find('-');
   if (dash == std::string_view::npos) return read_number(text, into.n);
@@ -67,7 +67,7 @@
   return false;
 }
 
-// Fields that are a number and no more; nullopt: `key` is none of them.
+// Reads a field with a numeric value; nullopt if `key` names no such field.
 std::optional<bool> read_number_field(std::string_view key, std::string_view value, FaultInjection& into) {
   constexpr auto reals = std::to_array<std::pair<std::string_view, double FaultInjection::*>>(
       {{"ms", &FaultInjection::ms},
@@ -106,13 +106,13 @@
 std::string FaultInjectionError::text() const {
   switch (kind) {
     case Kind::empty:
-      return "nothing is said";
+      return "the fault is empty";
     case Kind::unknown_fault:
-      return "'" + field + "' is no fault: delay, throttle, cut, reset, half, silence or garble";
+      return "'" + field + "' is not a fault: use delay, throttle, cut, reset, half, silence or garble";
     case Kind::unreadable_field:
-      return "'" + field + "' can't be read";
+      return "'" + field + "' is not a valid field";
     case Kind::missing_rate:
-      return "throttle wants rate=";
+      return "throttle needs rate=";
   }
   return {};
 }
--- a/src/testbed/model/fault_injector.cpp
+++ b/src/testbed/model/fault_injector.cpp
@@ -11,7 +11,7 @@
 using Position = FaultInjection::Position;
 
 namespace {
-constexpr std::size_t max_header_line = std::size_t{16} * 1024;
+constexpr std::size_t max_header_line_bytes = std::size_t{16} * 1024;
 constexpr std::size_t parser_buffers = 32;
 }  // namespace
 
@@ -60,7 +60,7 @@
          at.message->body_size() == injection.n;
 }
 
-// One byte further, after it has passed.
+// Advances the position in messages by one byte that has passed.
 void FaultInjector::follow(Track& track, char c) {
   ++track.bytes;
   if (track.unparsable) return;
@@ -83,9 +83,9 @@
   auto& line = track.line;
   if (c == '\n')
     line.clear();
-  else if (line.size() < max_header_line)
+  else if (line.size() < max_header_line_bytes)
     line += c;
-  // `Name:` and one blank have passed: the value's first byte comes next.
+  // The header's value begins after `Name:` and one blank.
   if (c == ' ' && line.size() > 2 && line[line.size() - 2] == ':' && line.find(':') == line.size() - 2)
     track.next_header = std::string_view(line).substr(0, line.size() - 2);
 }
@@ -122,8 +122,8 @@
   }
 }
 
-// The byte as it passes: another one where it is corrupted, but never the end of a line, so that the fault
-// stays where it was meant.
+// Returns the byte to forward. A corrupted byte is always printable and never ends a line, so that the fault
+// stays in the header or body that it targets.
 char FaultInjector::pass_byte(Track& track, char c) {
   if (track.corrupt_bytes == 0) return c;
   --track.corrupt_bytes;
--- a/src/testbed/model/fault_injector.hpp
+++ b/src/testbed/model/fault_injector.hpp
@@ -1,5 +1,5 @@
-// Injects the faults of a plan into the bytes of one connection. Bytes go in; what is to pass and what is to
-// happen comes out. No socket and no clock: times are milliseconds from the begin of the plan.
+// Injects the faults of a plan into the bytes of one connection: takes bytes, returns the bytes to forward
+// and the faults to carry out. No socket and no clock: times are milliseconds from the begin of the plan.
 #pragma once
 
 #include <array>
@@ -18,8 +18,7 @@
 
 class FaultInjector {
  public:
-  // First the bytes pass, then the fault is carried out, if there is one. Corrupted bytes are in `pass`
-  // already.
+  // First `pass` is forwarded, with corrupted bytes in it, then the fault, if any, is carried out.
   struct Step {
     std::string pass;
     std::optional<FaultInjection> fault;
@@ -27,23 +26,23 @@
   // `connection`: its number, from 0. The plan outlives the injector and counts what is injected.
   FaultInjector(InjectionPlan& plan, std::uint64_t connection);
 
-  // The connection came up.
+  // The connection is established: returns the faults at position `connect`.
   std::vector<Step> connected(double now_ms);
-  // Bytes have come in that direction.
+  // Handles bytes received in that direction.
   std::vector<Step> feed(Direction direction, std::string_view bytes, double now_ms);
-  // For faults at a time.
+  // Returns the faults at position `time` that are due.
   std::vector<Step> tick(double now_ms);
-  // What has been injected since this was last called.
+  // Returns the faults injected since the last call.
   std::vector<InjectedFault> take_injected() { return std::exchange(injected_, {}); }
 
  private:
-  // How far a direction has come in its messages, byte by byte.
+  // The position of a direction in its messages, updated byte by byte.
   struct Track {
     std::uint64_t bytes = 0, messages = 0;
     std::unique_ptr<protocol::Message> message;
-    std::string line;              // the line of the head that is being read
-    std::string_view next_header;  // the header whose value's first byte comes next; empty: none
-    bool unparsable = false;       // what passes is no message any more: only byte positions hold
+    std::string line;              // the incomplete line of the head
+    std::string_view next_header;  // the header whose value begins at the next byte; empty: none
+    bool unparsable = false;       // the stream is not HTTP: only byte positions match
     std::uint64_t corrupt_bytes = 0;
   };
   Track& track(Direction direction) { return tracks_[static_cast<std::size_t>(direction)]; }
@@ -54,7 +53,7 @@
                              double now_ms) const;
   [[nodiscard]] static bool matches_message(const FaultInjection& injection, const Track& at, bool at_end);
   [[nodiscard]] bool already_injected(const InjectionPlan::Entry& entry) const;
-  // Notes the fault and appends its step, with the bytes that pass before it.
+  // Records the fault and appends its step, with the bytes to forward before the fault.
   void inject(InjectionPlan::Entry& entry, std::string& pass, std::vector<Step>& steps);
   void inject_matching(Direction direction, bool at_end, double now_ms, std::string& pass,
                        std::vector<Step>& steps);
@@ -67,7 +66,7 @@
   std::unique_ptr<transport::Pool> pool_;
   std::array<Track, 2> tracks_;
   bool ended_ = false;                       // closed, reset or black-holed
-  std::vector<std::uint64_t> injected_ids_;  // entries that were injected into this connection
+  std::vector<std::uint64_t> injected_ids_;  // entries already injected into this connection
   std::vector<InjectedFault> injected_;
 };
 
--- a/src/testbed/model/front_balancer.hpp
+++ b/src/testbed/model/front_balancer.hpp
@@ -1,6 +1,5 @@
-// A model of the plain load balancer in front of ours: it spreads client connections round-robin over the
-// balancers of the client's zone, takes a balancer in once that is ready, and notices only after a while that
-// one has died.
+// A model of the network load balancer in front of the balancers: spreads client connections round-robin over
+// the balancers of the client's zone, and keeps using a failed balancer for a detection delay.
 #pragma once
 
 #include <limits>
@@ -11,7 +10,7 @@
 
 class FrontBalancer {
  public:
-  // `zone_of`: the zone of each target; `detection_delay_ms`: how long it goes on using a dead one.
+  // `zone_of`: the zone of each target; `detection_delay_ms`: from a target's failure to its removal.
   FrontBalancer(std::vector<int> zone_of, double detection_delay_ms)
       : zone_of_(std::move(zone_of)),
         down_since_(zone_of_.size(), std::numeric_limits<double>::infinity()),
@@ -22,8 +21,7 @@
   }
   void mark_down(int target, double now_ms) { down_since_[static_cast<std::size_t>(target)] = now_ms; }
 
-  // The next target of the zone that is taken for alive; of all zones, if this one has none; -1: there is
-  // none.
+  // Returns the next target of the zone that counts as up, else one of any zone, else -1.
   int pick(int zone, double now_ms) {
     for (bool any_zone : {false, true})
       for (std::size_t i = 0; i < zone_of_.size(); ++i) {
--- a/src/testbed/model/histogram.hpp
+++ b/src/testbed/model/histogram.hpp
@@ -1,7 +1,6 @@
-// A log-linear histogram of times: each power of two of microseconds is cut into 128 equal buckets, so that a
-// quantile is known with a relative error under 1/128. The form is that of HdrHistogram
-// (http://hdrhistogram.org), whose C library Debian does not carry. Memory is bounded: 4,000 counts whatever
-// is added.
+// A log-linear histogram of times in the form of HdrHistogram (http://hdrhistogram.org): each power of two of
+// microseconds has 128 equal buckets, so that the relative error of a quantile is under 1/128. Memory is
+// bounded by 4,000 counts.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +14,7 @@
 class Histogram {
  public:
   static constexpr int sub_buckets_log2 = 7;
-  static constexpr double max_trackable_ms = 68'719'476.0;  // 2^36 us; more counts as that
+  static constexpr double max_trackable_ms = 68'719'476.0;  // 2^36 us; larger times count as this
 
   // Negative times count as 0.
   void add(double ms, std::uint64_t times = 1) {
@@ -33,7 +32,7 @@
     sum_ += other.sum_;
     max_ = std::max(max_, other.max_);
   }
-  // The least value in ms that `share` of all do not exceed, as the upper end of its bucket; 0 where empty.
+  // Returns the quantile in ms as the upper end of its bucket; 0 if the histogram is empty.
   [[nodiscard]] double quantile(double share) const {
     auto wanted =
         static_cast<std::uint64_t>(std::ceil(std::clamp(share, 0.0, 1.0) * static_cast<double>(count_)));
--- a/src/testbed/model/random.hpp
+++ b/src/testbed/model/random.hpp
@@ -1,5 +1,5 @@
-// Random numbers from seeds. Streams are independent by name: what one part of a run draws never changes what
-// another part draws.
+// Random numbers from seeds. Streams are independent by name: the draws of one part of a run never change
+// those of another part.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 using Rng = std::mt19937_64;
 
-// A seed for the part `name`, number `n`, of a run. Mixed as in SplitMix64 (Steele, Lea, Flood 2014).
+// Returns the seed of stream `name`, number `n`, of a run, mixed as in SplitMix64 (Steele, Lea, Flood 2014).
 inline std::uint64_t mixed(std::uint64_t seed, std::string_view name, std::uint64_t n = 0) {
   auto mix = [](std::uint64_t z) {
     z += 0x9E3779B97F4A7C15ULL;
@@ -26,10 +26,10 @@
 
 // The next number of a stream, in [0, 1).
 inline double uniform(Rng& rng) { return std::generate_canonical<double, 53>(rng); }
-// As a value of the seed alone, in [0, 1).
+// A number in [0, 1) that depends on the seed alone.
 inline double uniform_of(std::uint64_t seed) { return static_cast<double>(seed >> 11) * 0x1.0p-53; }
 
-// A factor around 1 with this coefficient of variation, log-normal, as a value of the seed alone.
+// A log-normal factor with mean 1 and this coefficient of variation; depends on the seed alone.
 inline double spread_of(std::uint64_t seed, double variation) {
   if (variation <= 0) return 1;
   double sigma2 = std::log(1 + variation * variation);
--- a/src/testbed/model/retry_policy.cpp
+++ b/src/testbed/model/retry_policy.cpp
@@ -8,7 +8,7 @@
 namespace meadowgauge::testbed {
 
 namespace {
-constexpr double min_time_left_ms = 10;  // a retry with less could not be answered in time: it is not sent
+constexpr double min_time_left_ms = 10;  // below this a retry cannot be answered before the timeout
 }
 
 std::optional<double> RetryPolicy::delay_before_retry(std::uint64_t number, int attempts, bool rejected,
--- a/src/testbed/model/retry_policy.hpp
+++ b/src/testbed/model/retry_policy.hpp
@@ -1,5 +1,5 @@
-// What a client of the testbed does after an attempt that did not succeed. Values only; the jitter follows
-// from the seed and the request's number, so that two runs wait alike.
+// The retry policy of the testbed's clients. Values only; the jitter depends on the seed and the request's
+// number alone, so that a repeated run has the same backoff.
 #pragma once
 
 #include <cstdint>
@@ -9,18 +9,18 @@
 
 struct RetrySpec {
   int max_retries = 0;            // beyond the first attempt
-  double backoff_ms = 200;        // doubled with each retry, with a jitter of a quarter either way
-  bool honor_retry_after = true;  // waits at least as long as Retry-After says
-  bool retry_failures = true;     // and not only rejected attempts
+  double backoff_ms = 200;        // doubles with each retry; jitter of 25% either way
+  bool honor_retry_after = true;  // the Retry-After value is a lower bound of the backoff
+  bool retry_failures = true;     // retries failed attempts as well as rejected ones
   bool mark_retries = false;      // with X-Again: 1
 };
 
 class RetryPolicy {
  public:
   RetryPolicy(const RetrySpec& spec, std::uint64_t seed) : spec_(spec), seed_(seed) {}
-  // The wait in ms after attempt number `attempts` (from 1) of request `number`, with `left_ms` of the
-  // client's timeout left; empty: the client gives up. `retry_after_ms` 0: none was told. A non-idempotent
-  // request is retried only where it was rejected.
+  // Returns the backoff in ms after attempt number `attempts` (from 1) of request `number`, or empty for no
+  // retry. `left_ms`: the rest of the client's timeout; `retry_after_ms`: 0 without a Retry-After header. A
+  // non-idempotent request is retried only if it was rejected.
   [[nodiscard]] std::optional<double> delay_before_retry(std::uint64_t number, int attempts, bool rejected,
                                                          bool non_idempotent, double retry_after_ms,
                                                          double left_ms) const;
--- a/src/testbed/model/server_model.cpp
+++ b/src/testbed/model/server_model.cpp
@@ -32,7 +32,7 @@
   return std::min(1.0, static_cast<double>(running_.size()) / static_cast<double>(spec_.cores));
 }
 
-// Compares the work of the last `overload_ms` with what could be done in as long at this moment's speed.
+// Compares the work offered in the last `overload_ms` with the capacity over that time at the current speed.
 bool ServerModel::overloads(double work_ms, double now_ms) {
   if (!slow_start_ || warmup_factor(now_ms) >= 1 || spec_.overload_factor <= 0) return false;
   offered_.emplace_back(now_ms, work_ms);
@@ -41,8 +41,8 @@
     offered_sum_ms_ -= offered_.front().second;
     offered_.pop_front();
   }
-  double able = spec_.overload_ms * spec_.cores * spec_.speed * warmup_factor(now_ms);
-  return offered_sum_ms_ > spec_.overload_factor * able;
+  double capacity_ms = spec_.overload_ms * spec_.cores * spec_.speed * warmup_factor(now_ms);
+  return offered_sum_ms_ > spec_.overload_factor * capacity_ms;
 }
 
 ServerModel::Admission ServerModel::arrive(JobId job, double work_ms, std::string_view key,
@@ -60,7 +60,7 @@
   if (fail_share_ > 0 && uniform(rng_) < fail_share_) return Admission::failed;
   bool can_start = core_free() && now_ms >= stalled_until_ms_;
   if (!can_start && static_cast<int>(queue_.size()) >= spec_.queue) return Admission::queue_full;
-  // Only what is accepted is noted: a key that was rejected has not run.
+  // Records the key only after all rejections: a rejected request has not executed.
   if (cache && !key.empty() && deduplication_window_ms > 0 &&
       cache->seen(key, deduplication_window_ms, now_ms))
     return Admission::duplicate;
@@ -91,11 +91,11 @@
 }
 
 double ServerModel::next_event_ms() const {
-  double at = std::numeric_limits<double>::infinity();
-  if (crashed_) return at;
-  for (const auto& j : running_) at = std::min(at, j.ends_ms);
-  if (!queue_.empty() && core_free()) at = std::min(at, stalled_until_ms_);
-  return std::max(at, stalled_until_ms_);
+  double next_ms = std::numeric_limits<double>::infinity();
+  if (crashed_) return next_ms;
+  for (const auto& job : running_) next_ms = std::min(next_ms, job.ends_ms);
+  if (!queue_.empty() && core_free()) next_ms = std::min(next_ms, stalled_until_ms_);
+  return std::max(next_ms, stalled_until_ms_);
 }
 
 std::vector<ServerModel::Progress> ServerModel::advance(double now_ms) {
--- a/src/testbed/model/traffic.cpp
+++ b/src/testbed/model/traffic.cpp
@@ -7,7 +7,7 @@
 namespace meadowgauge::testbed {
 namespace {
 
-// The index that the point `u` of [0, 1) falls on, where each has its share of `sum`.
+// Returns the index whose share of `sum` contains the point `u` of [0, 1).
 int draw_index(const std::vector<double>& shares, double sum, double u) {
   double left = u * sum;
   int last = 0;
@@ -18,7 +18,7 @@
     left -= share;
     last = i;
   }
-  return last;  // rounding left a rest
+  return last;  // rounding errors can leave a remainder
 }
 
 double sum_of(const std::vector<double>& shares) {
@@ -51,12 +51,12 @@
       number_step_(static_cast<std::uint64_t>(workers)) {
   if (tenants_.empty()) tenants_.push_back({});
   normalize_shares(tenants_);
-  // The bound for thinning: phases that overlap multiply, so each one's peak is taken.
+  // The bound for thinning: overlapping phases multiply, so the bound multiplies their peaks.
   for (const auto& tenant : tenants_) {
-    double times = 1;
+    double multiplier = 1;
     for (const auto& phase : spec_.phases)
-      if (concerns(phase, tenant)) times *= std::max({1.0, phase.from, phase.to});
-    peak_rate_ += spec_.rate * tenant.share * times;
+      if (concerns(phase, tenant)) multiplier *= std::max({1.0, phase.from, phase.to});
+    peak_rate_ += spec_.rate * tenant.share * multiplier;
   }
   tenant_rates_.resize(tenants_.size());
 }
--- a/src/testbed/model/traffic.hpp
+++ b/src/testbed/model/traffic.hpp
@@ -1,6 +1,6 @@
-// Open-loop traffic of a run: when each request should be sent, whatever became of those before. Poisson
-// arrivals by thinning, with ramps, bursts, tenants, request classes and zones. All of it follows from one
-// seed, and no clock is read. Times are milliseconds from the begin of the run.
+// Open-loop traffic of a run: the send times of requests don't depend on earlier responses. Poisson arrivals
+// by thinning, with ramps, bursts, tenants, request classes and zones. All draws come from one seed, and no
+// clock is read. Times are milliseconds from the begin of the run.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,13 @@
 
 namespace meadowgauge::testbed {
 
-// Whether a request may be sent again once it may have executed.
+// Whether a request may be retried once it may have executed.
 enum class Idempotency : std::uint8_t {
-  safe,           // always: it has no effect
+  safe,           // always: the request has no effect
   deduplicated,   // with its idempotency key, within the scope and the window of the class
   non_idempotent  // never
 };
-// The servers that drop each other's duplicates by key.
+// The servers that share one deduplication cache.
 enum class DeduplicationScope : std::uint8_t { all, zone, block };
 
 // A class of requests, named by its path prefix.
@@ -30,7 +30,7 @@
   double work_ms = 20, spread = 0.5;  // mean at full speed; coefficient of variation
   double latency_objective_ms = 500, timeout_ms = 3000;
   double priority_weight = 1;
-  int request_body_bytes = 200;  // of a request that has a body
+  int request_body_bytes = 200;  // unless the class is safe
   int response_body_bytes = 400;
   int downstream_calls = 0;      // to the next tier, one after another, each of the class `downstream_class`
   std::string downstream_class;  // a name
@@ -49,7 +49,7 @@
   std::string tenant;  // empty: all
 };
 
-// From `at_ms` on clients are in these zones.
+// From `at_ms` on, clients are spread over the zones by these shares.
 struct ZoneChangeSpec {
   double at_ms = 0;
   std::vector<double> zones{};  // shares
@@ -72,16 +72,16 @@
 // Generates arrivals in order of time.
 class Traffic {
  public:
-  // With `workers` above one this generates the share of one of that many, which together make the whole;
-  // their request numbers interleave.
+  // Generates the traffic of one of `workers` workers, which together generate the complete traffic; their
+  // request numbers interleave.
   Traffic(TrafficSpec spec, std::vector<RequestClassSpec> request_classes, std::vector<TenantSpec> tenants,
           std::uint64_t seed, int worker = 0, int workers = 1);
   Arrival next();
-  // Requests a second that a tenant should send at that time, over all workers.
+  // The scheduled rate of a tenant at that time, requests a second over all workers.
   [[nodiscard]] double rate(int tenant, double at_ms) const;
 
  private:
-  // Draws tenant, class and zone of the arrival at `at_ms_`. The order of draws is part of what a seed means.
+  // Draws tenant, class and zone of the arrival at `at_ms_`. Changing the order of draws changes all seeds.
   Arrival draw_arrival(double total_rate);
   [[nodiscard]] const std::vector<double>& zone_shares(double at_ms) const;
 
