--- a/src/testbed/stand_ins/command_server.cpp
+++ b/src/testbed/stand_ins/command_server.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr std::size_t max_command_bytes = 4096;
 constexpr std::size_t max_connections = 16;
-constexpr std::size_t max_unread_bytes = 4 << 20;  // of answers that the peer does not read
+constexpr std::size_t max_unread_bytes = 4 << 20;  // replies that the peer has not read
 }  // namespace
 
 void CommandServer::ready(std::uint32_t) {
@@ -40,7 +40,7 @@
     unread.erase(0, end + 1);
     if (command.ends_with('\r')) command.pop_back();
     auto& out = connection.stream.out();
-    // A peer that asks and does not read is not answered for ever.
+    // Closes the connection of a peer that sends commands without reading the replies.
     if (out.size() > max_unread_bytes || !out.append(handler_(command)) || !connection.stream.flush())
       return false;
   }
--- a/src/testbed/stand_ins/command_server.hpp
+++ b/src/testbed/stand_ins/command_server.hpp
@@ -1,4 +1,4 @@
-// A socket that takes commands, one a line, and answers each by a handler.
+// A socket that accepts commands, one per line, and replies to each by a handler.
 #pragma once
 
 #include <cstdint>
@@ -16,9 +16,9 @@
 
 class CommandServer final : transport::Ready, TestbedContext::Component {
  public:
-  // Gives the answer, with its line end, to a command without one.
+  // Takes a command without its line end; returns the reply with its line end.
   using Handler = std::function<std::string(const std::string& command)>;
-  // Throws std::system_error where it can't listen.
+  // Throws std::system_error if it cannot listen.
   CommandServer(TestbedContext& context, const transport::Address& listen, Handler handler)
       : Component(context), handler_(std::move(handler)), listener_(context_.loop, listen, *this) {}
   [[nodiscard]] transport::Address address() const { return listener_.address(); }
@@ -34,11 +34,11 @@
     CommandServer& server;
     std::uint64_t number;
     transport::Stream stream;
-    std::string unread;  // a line that is not complete
+    std::string unread;  // an incomplete line
   };
   void ready(std::uint32_t) override;  // the listener
   void read_from(Connection& connection);
-  // False: the connection is to be closed.
+  // Returns false if the connection must be closed.
   bool answer_lines(Connection& connection);
   void close(Connection& connection);
 
--- a/src/testbed/stand_ins/datagram_relay.cpp
+++ b/src/testbed/stand_ins/datagram_relay.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t max_delayed = 100000;
+constexpr std::size_t max_delayed_datagrams = 100000;
 constexpr std::size_t max_datagram_bytes = 65536;
 
 transport::Fd bind_datagram_socket(const transport::Address& at) {
@@ -51,10 +51,10 @@
     socklen_t size = sizeof sender;
     auto received =
         recvfrom(fd.get(), bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&sender), &size);
-    // The peer was not there for one that was sent before.
+    // ECONNREFUSED reports an earlier datagram to a closed port; this socket stays usable.
     if (received < 0 && errno == ECONNREFUSED) continue;
     if (received < 0) return;
-    // Nobody but that balancer sends here.
+    // Accepts datagrams of that balancer only.
     bool expected =
         transport::Address::seen(sender, size) == relay.own_addresses_[static_cast<std::size_t>(from)];
     if (expected) relay.forward(*this, std::string(bytes.data(), static_cast<std::size_t>(received)));
@@ -68,14 +68,14 @@
   for (auto& delivery : endpoint.path.send(std::move(bytes), now_ms)) {
     if (delivery.at_ms <= now_ms)
       deliver(endpoint.from, endpoint.to, delivery.bytes);
-    else if (delayed_.size() < max_delayed)
+    else if (delayed_.size() < max_delayed_datagrams)
       delayed_.emplace(delivery.at_ms + begin_ms_,
                        Delayed{endpoint.from, endpoint.to, std::move(delivery.bytes)});
   }
   on_timer(0);
 }
 
-// It is sent from the address that its receiver has listed for its sender.
+// Sends from the address that the receiver knows as the sender's.
 void DatagramRelay::deliver(int from, int to, const std::string& bytes) {
   const auto& at = own_addresses_[static_cast<std::size_t>(to)];
   sendto(endpoint(to, from).fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL, at.raw(), at.size());
--- a/src/testbed/stand_ins/datagram_relay.hpp
+++ b/src/testbed/stand_ins/datagram_relay.hpp
@@ -1,5 +1,5 @@
-// Carries datagrams between balancers: each knows each other by an address of the relay, which forwards them,
-// or not, as the run's faults say. The receiver sees the address that it has listed for the sender.
+// Relays datagrams between balancers and applies the run's datagram faults. A balancer knows each peer by an
+// address of the relay, and receives datagrams from the address that it knows as the sender's.
 #pragma once
 
 #include <cstdint>
@@ -19,21 +19,21 @@
 
 class DatagramRelay final : TestbedContext::Component {
  public:
-  // The address of a balancer itself, and the one by which it knows a peer.
+  // The address of a balancer, and the address by which a balancer knows a peer.
   using OwnAddress = std::function<transport::Address(int balancer)>;
   using PeerAddress = std::function<transport::Address(int balancer, int peer)>;
-  // Binds all sockets; throws std::system_error where it can't. `faults` outlives it.
+  // Binds all sockets; throws std::system_error if that fails. `faults` outlives the relay.
   DatagramRelay(TestbedContext& context, int balancers, const OwnAddress& own,
                 const PeerAddress& peer_address, const std::vector<DatagramFault>& faults,
                 std::uint64_t seed);
   ~DatagramRelay() override;
   DatagramRelay(const DatagramRelay&) = delete;
   DatagramRelay& operator=(const DatagramRelay&) = delete;
-  // The faults' times count from `at_ms`.
+  // The run begins at `at_ms`; the faults' times count from there.
   void begin(double at_ms) { begin_ms_ = at_ms; }
   void on_timer(std::uint64_t number) override;
 
-  // What balancers sent, delivered or not.
+  // The datagrams that balancers sent, delivered or not, and their bytes.
   [[nodiscard]] std::uint64_t datagrams() const { return datagrams_; }
   [[nodiscard]] std::uint64_t bytes() const { return bytes_; }
 
@@ -65,7 +65,7 @@
   double begin_ms_ = 0, timer_ = transport::DueTimes::none;
   std::vector<std::unique_ptr<Endpoint>> endpoints_;  // null where from == to
   std::vector<transport::Address> own_addresses_;
-  std::multimap<double, Delayed> delayed_;  // by the time of delivery
+  std::multimap<double, Delayed> delayed_;  // by delivery time, ms
   std::uint64_t datagrams_ = 0, bytes_ = 0;
 };
 
--- a/src/testbed/stand_ins/discovery.cpp
+++ b/src/testbed/stand_ins/discovery.cpp
@@ -12,7 +12,7 @@
 namespace meadowgauge::testbed {
 namespace {
 
-constexpr double heartbeat_ms = 2000;  // an empty line so often while nothing changes
+constexpr double heartbeat_interval_ms = 2000;  // a watch receives an empty line as heartbeat
 
 std::string chunk(const std::string& line) { return formatted("%zx\r\n", line.size()) + line + "\r\n"; }
 
@@ -24,7 +24,7 @@
           {"share", endpoint.share}, {"born_ms", std::floor(endpoint.started_ms)}};
 }
 
-// The version of a watch's `after=N`; 0: none is stated.
+// Returns the version of a watch's `after=N`; 0 without one.
 std::uint64_t version_in(std::string_view target) {
   constexpr std::string_view key = "after=";
   std::uint64_t version = 0;
@@ -41,7 +41,7 @@
     : Component(context),
       http_(context, *this),
       on_notified_(std::move(on_notified)),
-      next_heartbeat_ms_(context_.now_ms + heartbeat_ms) {
+      next_heartbeat_ms_(context_.now_ms + heartbeat_interval_ms) {
   for (const auto& address : listen_at) {
     http_.listen(address);
     agents_.push_back({endpoints, std::vector<std::uint64_t>(endpoints.size(), 1), 1, {}});
@@ -70,7 +70,7 @@
 }
 
 void Discovery::on_request(ConnectionId connection, int listener, const protocol::Message& request, bool) {
-  if (silent_) return;  // nothing is answered; the connection stays
+  if (silent_) return;  // the connection stays open without a response
   auto target = request.target();
   if (target.substr(0, target.find('?')) != protocol::names::endpoint_list)
     return http_.respond(connection, 404, "", "");
@@ -99,7 +99,7 @@
 void Discovery::notify_watches(int balancer) {
   if (silent_) return;
   auto& at = agent(balancer);
-  // A write that fails ends the watch, and on_disconnect() takes it out of the list.
+  // Iterates over a copy: a failed write ends the watch, and on_disconnect() removes it from the list.
   auto watches = at.watches;
   for (const auto& watch : watches) {
     if (watch.sent_version >= at.version) continue;
@@ -138,7 +138,7 @@
   if (!on) notify_all_watches();
 }
 
-// False: nothing has changed. While discovery is silent changes do not even reach the agents.
+// Returns whether an update was applied. While discovery is silent, updates stay pending.
 bool Discovery::apply_due_updates() {
   std::stable_sort(pending_.begin(), pending_.end(),
                    [](const PendingUpdate& a, const PendingUpdate& b) { return a.at_ms < b.at_ms; });
@@ -159,17 +159,17 @@
 void Discovery::on_timer(std::uint64_t) {
   if (apply_due_updates()) notify_all_watches();
   if (context_.now_ms >= next_heartbeat_ms_) {
-    next_heartbeat_ms_ = context_.now_ms + heartbeat_ms;
+    next_heartbeat_ms_ = context_.now_ms + heartbeat_interval_ms;
     if (!silent_) send_heartbeats();
   }
   arm();
 }
 
 void Discovery::arm() {
-  double at = next_heartbeat_ms_;
+  double next_ms = next_heartbeat_ms_;
   if (!silent_)
-    for (const auto& update : pending_) at = std::min(at, update.at_ms);
-  set_timer(0, timer_, at);
+    for (const auto& update : pending_) next_ms = std::min(next_ms, update.at_ms);
+  set_timer(0, timer_, next_ms);
 }
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/stand_ins/discovery.hpp
+++ b/src/testbed/stand_ins/discovery.hpp
@@ -1,5 +1,5 @@
-// Stand-in for service discovery: the agent on the machine of each balancer, with complete lists, watches,
-// changes that arrive late, and silence.
+// Stand-in for service discovery: an agent for each balancer, with complete lists, watches, delayed updates,
+// and a fault that silences all agents.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace meadowgauge::testbed {
 
-// A server as the endpoint list has it. Its address differs from one balancer to the next.
+// A server's entry in the endpoint list. Each balancer has its own address for the server.
 struct DiscoveryEndpoint {
   enum class Health : std::uint8_t { active, leaving, left };
   std::string host, zone, kind;
@@ -23,19 +23,19 @@
 
 class Discovery final : HttpServer::Handler, TestbedContext::Component {
  public:
-  // Told that an entry was written to a balancer.
+  // Called when an entry was sent to a balancer.
   using NotificationSink = std::function<void(int balancer, int server, DiscoveryEndpoint::Health health)>;
 
-  // One listener for each balancer. Throws std::system_error where it can't listen.
+  // Opens one listener for each balancer. Throws std::system_error if it cannot listen.
   Discovery(TestbedContext& context, const std::vector<transport::Address>& listen_at,
             const std::vector<DiscoveryEndpoint>& endpoints, NotificationSink on_notified);
 
-  // A change of a server, which reaches balancer `b` after `delay_ms[b]`; one entry holds for all.
+  // Updates a server; balancer `b` is notified after `delay_ms[b]`. A single element holds for all balancers.
   void update(int server, DiscoveryEndpoint::Health health, double started_ms,
               const std::vector<double>& delay_ms);
-  // While silent it sends nothing to anybody; what changed meanwhile is sent after.
+  // While silent, discovery sends nothing; pending updates are sent when the silence ends.
   void set_silent(bool on);
-  // The complete list as that balancer's agent has it by now, in discovery's form.
+  // The current complete list of that balancer's agent, in discovery's JSON form.
   [[nodiscard]] std::string complete_list(int balancer) const;
 
  private:
@@ -65,7 +65,7 @@
   void apply(const PendingUpdate& update);
   void notify_watches(int balancer);
   void notify_all_watches();
-  // Tells the sink of all entries that changed after that version.
+  // Calls the sink for all entries that changed after that version.
   void report_notified(int balancer, std::uint64_t after);
   void send_heartbeats();
   [[nodiscard]] std::string list_json(int balancer, std::uint64_t after, bool complete) const;
--- a/src/testbed/stand_ins/http_client.cpp
+++ b/src/testbed/stand_ins/http_client.cpp
@@ -54,7 +54,7 @@
   if (connection->connected) flush(*connection);
 }
 
-// A stream that broke says so by its events: no request ends within send().
+// Ignores a broken stream, which its events report: no request ends within send().
 void HttpClient::flush(Connection& connection) {
   if (connection.stream.flush() && connection.stream.flushed() && connection.written_ms == never)
     connection.written_ms = context_.now_ms;
@@ -98,7 +98,7 @@
   finish(connection, raced ? Outcome::keep_alive_race : Outcome::connection_lost);
 }
 
-// Of a complete response. The body of a 200 begins with the id of its request, on a line of its own.
+// Classifies a complete response. The body of a 200 begins with its request's id on a line of its own.
 Outcome HttpClient::outcome_of(Connection& connection) {
   int status = connection.response.status();
   if (status == 429 || status == 503) return Outcome::rejected;
@@ -148,7 +148,7 @@
   connections_.erase(it);
 }
 
-// A request's deadline.
+// A request's deadline has expired.
 void HttpClient::on_timer(std::uint64_t number) {
   auto it = connections_.find(number);
   if (it == connections_.end()) return;
--- a/src/testbed/stand_ins/http_client.hpp
+++ b/src/testbed/stand_ins/http_client.hpp
@@ -1,5 +1,5 @@
-// The calling side of HTTP for stand-ins: connections to some targets, one request at a time on each, a new
-// one where all are busy. Clients use it, and servers that call the next tier.
+// The HTTP client of the stand-ins: a pool of connections with one request at a time, which grows if all are
+// busy. Used by the load generator and by servers that call the next tier.
 #pragma once
 
 #include <cstdint>
@@ -28,14 +28,14 @@
     Outcome outcome = Outcome::timed_out;
     int status = 0, target = -1;  // target -1: no connection was chosen
     double written_ms = never, ended_ms = never, retry_after_ms = 0;
-    double received_by_ms = 0;  // a reading of the clock after the response's last byte
+    double received_by_ms = 0;  // the clock, read after the response's last byte
   };
   class Handler {
    public:
     virtual void on_result(std::uint64_t token, const Result& result) = 0;
-    // Bytes came on a connection after the complete response to its last request.
+    // Bytes were received after the complete response to the connection's last request.
     virtual void on_extra_bytes(std::uint64_t /*token*/) {}
-    // The index of the target that the next connection of a group goes to; -1: to none just now.
+    // Returns the index of the target for the group's next connection; -1: none is available.
     virtual int pick_target(int group) = 0;
 
    protected:
@@ -44,7 +44,7 @@
   struct Options {
     std::size_t max_connections = 20000;
     bool connection_per_request = false;
-    bool rotate = false;  // idle connections take turns; otherwise the one used last goes first
+    bool rotate = false;  // reuses the longest idle connection first, otherwise the last used
   };
 
   // The handler outlives the client.
@@ -54,12 +54,12 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // Sends `message`, a complete request with this id. Its result is told once, with `token`, and never before
-  // this returns. At `deadline_ms` the request times out and its connection is closed.
+  // Sends `message`, a complete request with this id. The handler gets the result once, with `token`, never
+  // before send() returns. At `deadline_ms` the request times out and its connection is closed.
   void send(std::uint64_t token, int group, const std::string& message, std::string id, double deadline_ms);
   // Opens `count` idle connections of a group.
   void open_idle(int group, std::size_t count);
-  // All that were opened so far.
+  // The number of connections opened so far.
   [[nodiscard]] std::uint64_t connections_opened() const { return next_number_ - 1; }
 
   void on_timer(std::uint64_t number) override;
@@ -80,8 +80,8 @@
     transport::Stream stream;
     protocol::Message response;
     bool connected = false, busy = false;
-    bool reused = false;      // it has had a response
-    std::uint64_t token = 0;  // of its last request
+    bool reused = false;      // a response was received before
+    std::uint64_t token = 0;  // of the last request
     std::string id;
     double written_ms = never, deadline = transport::DueTimes::none;
   };
@@ -106,7 +106,7 @@
     std::uint64_t token = 0;
     Result result;
   };
-  std::vector<Unsent> unsent_;  // told at the end of the turn
+  std::vector<Unsent> unsent_;  // reported at the end of the turn
   std::uint64_t next_number_ = 1;
 };
 
--- a/src/testbed/stand_ins/http_server.cpp
+++ b/src/testbed/stand_ins/http_server.cpp
@@ -9,7 +9,7 @@
 using transport::Stream;
 
 namespace {
-constexpr std::size_t max_unread_bytes = 16 << 20;  // a peer that reads nothing for long is given up
+constexpr std::size_t max_unread_bytes = 16 << 20;  // a connection with more unread output is closed
 }
 
 HttpServer::~HttpServer() = default;
@@ -64,7 +64,7 @@
   }
 }
 
-// While a request is handled, bytes that come wait; an end is reported at once.
+// While a request is handled, further bytes stay buffered, but a disconnect is reported at once.
 void HttpServer::watch_for_close(Connection& connection) {
   if (!connection.stream.bytes().empty()) return;
   auto got = connection.stream.fill();
@@ -107,7 +107,7 @@
   if (!written || !connection.stream.flush()) return close(connection, false);
   if (connection.closing && connection.stream.flushed()) return close(connection, false);
   start_idle_timer(connection);
-  connection.stream.again(EPOLLIN);  // what came meanwhile
+  connection.stream.again(EPOLLIN);  // handles bytes received meanwhile
 }
 
 bool HttpServer::write(ConnectionId id, std::string_view bytes) {
@@ -121,7 +121,7 @@
   return false;
 }
 
-// An idle connection.
+// A connection has reached its idle timeout.
 void HttpServer::on_timer(std::uint64_t number) {
   auto it = connections_.find(number);
   if (it != connections_.end()) close(*it->second, false);
--- a/src/testbed/stand_ins/http_server.hpp
+++ b/src/testbed/stand_ins/http_server.hpp
@@ -1,5 +1,5 @@
-// The serving side of HTTP for stand-ins: listeners, connections with one request at a time, and a handler
-// that is told of them.
+// The HTTP server of the stand-ins: listeners, connections with one request at a time, and a handler for
+// requests and disconnects.
 #pragma once
 
 #include <cstdint>
@@ -15,42 +15,42 @@
 
 namespace meadowgauge::testbed {
 
-// The number of a connection within its server; never used again.
+// The number of a connection, unique within its server.
 using ConnectionId = std::uint64_t;
 
 class HttpServer final : public TestbedContext::Component {
  public:
   class Handler {
    public:
-    // The first byte of a request has come.
+    // The first byte of a request was received.
     virtual void on_first_byte(ConnectionId, int /*listener*/) {}
-    // A request is complete; it is valid until it is answered. `first`: the first of its connection.
+    // A request is complete and valid until respond(). `first`: the first request of the connection.
     virtual void on_request(ConnectionId connection, int listener, const protocol::Message& request,
                             bool first) = 0;
-    // The connection ended, or its bytes were no HTTP, between a request's first byte and its answer.
+    // The connection ended, or was not HTTP, between a request's first byte and its response.
     virtual void on_disconnect(ConnectionId) {}
 
    protected:
     ~Handler() = default;
   };
 
-  // The handler outlives the server, and is not told when that is destroyed.
+  // The handler outlives the server. Destroying the server calls no handler.
   HttpServer(TestbedContext& context, Handler& handler) : Component(context), handler_(handler) {}
   ~HttpServer() override;
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Gives the listener's number, from 0. Throws std::system_error where it can't listen.
+  // Returns the listener's number, from 0. Throws std::system_error if it cannot listen.
   int listen(const transport::Address& at);
   [[nodiscard]] transport::Address address(int listener) const;
-  // Closes the listeners and resets all connections, also those that wait to be accepted.
+  // Closes the listeners and resets all connections, including those not accepted yet.
   void close_all();
 
-  // Answers the request of that connection; does nothing where it has ended. `headers`: complete lines.
+  // Responds to the request of that connection, if it is still open. `headers`: complete lines.
   void respond(ConnectionId id, int status, std::string_view headers, std::string_view body);
-  // Writes bytes as they are; the request stays unanswered. False: the connection has ended.
+  // Writes raw bytes; the request stays open. Returns false if the connection has ended.
   bool write(ConnectionId id, std::string_view bytes);
-  // How long a connection may be idle; 0: for ever.
+  // Sets the idle timeout of connections; 0: none.
   void set_idle_timeout(double ms) { idle_timeout_ms_ = ms; }
 
   void on_timer(std::uint64_t number) override;
@@ -78,15 +78,15 @@
     int listener;
     transport::Stream stream;
     protocol::Message request;
-    bool request_begun = false;  // its first byte has come
-    bool handling = false;       // complete, not answered
+    bool request_begun = false;  // the first byte was received
+    bool handling = false;       // the request is complete and has no response yet
     bool first = true;           // no request has been complete yet
-    bool closing = false;        // once all is written
+    bool closing = false;        // closes after the output is written
     double idle_timer = transport::DueTimes::none;
   };
   void accept(Listener& listener);
   void pump(Connection& connection);
-  // Reads the next bytes of a request. False: there are none now, or the connection has ended.
+  // Reads the next bytes of a request. Returns false if there are none or the connection has ended.
   bool read_request(Connection& connection);
   void watch_for_close(Connection& connection);
   void close(Connection& connection, bool reset);
--- a/src/testbed/stand_ins/relay.cpp
+++ b/src/testbed/stand_ins/relay.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::uint64_t tick_number = std::uint64_t{1} << 39;  // the relay's own timer, beside those of pairs
-constexpr double tick_ms = 5;                                  // how exactly faults at a time are injected
-constexpr double idle_tick_ms = 100;                           // while the plan has none
-constexpr std::size_t max_lane_bytes = std::size_t{256} * 1024;  // then reading rests
-constexpr double pieces_per_second = 50;                         // of a throttled lane
+constexpr std::uint64_t tick_timer_number = std::uint64_t{1} << 39;  // above the numbers of all pairs
+constexpr double tick_ms = 5;                                        // accuracy of faults at position `time`
+constexpr double idle_tick_ms = 100;                                 // without faults at position `time`
+constexpr std::size_t max_lane_bytes = std::size_t{256} * 1024;      // a full lane stops reading
+constexpr double pieces_per_second = 50;                             // of a throttled lane
 
 }  // namespace
 
@@ -50,13 +50,13 @@
   auto& relay = pair.relay;
   if (in == Direction::to_client && !pair.connected) {
     if (!(events & (EPOLLOUT | EPOLLERR | EPOLLHUP))) return;
-    // As the server would have refused it.
+    // Resets the client's connection, as a refusing server would.
     if (stream.dial_error() != 0) return relay.end(pair, true);
     pair.connected = true;
     relay.read_from(pair, *pair.client);
     if (!pair.client || !pair.client->stream.open()) return;
   }
-  // What could not be written before may pass now, in either direction.
+  // The event may make room for buffered bytes in either direction.
   if (relay.pass_due(pair)) relay.read_from_both(pair);
 }
 
@@ -89,7 +89,7 @@
 void Relay::on_stream_end(Pair& pair, End& from) {
   from.ended = true;
   if (pair.black_holed) {
-    // No end is shown; once both sides have ended there is nobody left to wait.
+    // Neither side sees the other's end; the pair is destroyed once both sides have ended.
     if (pair.client->ended && pair.server && pair.server->ended) end(pair, true);
     return;
   }
@@ -105,14 +105,14 @@
     if (!step.fault) continue;
     bool ends =
         step.fault->kind == FaultInjection::Kind::close || step.fault->kind == FaultInjection::Kind::reset;
-    // What has passed before an end is with the receiver before it.
+    // The receiver gets the bytes before a close or reset first.
     if (ends && !pass_due(pair)) return;
     if (!carry_out(pair, *step.fault)) return;
   }
   pass_due(pair);
 }
 
-// A throttled lane takes bytes in pieces, so that the bound on the rate is kept within a piece.
+// A throttled lane queues bytes in pieces, so that the rate is exceeded by at most one piece.
 void Relay::queue_bytes(Lane& lane, std::string bytes) {
   while (!bytes.empty()) {
     double at_ms = std::max(context_.now_ms + lane.delay_ms, lane.free_at_ms);
@@ -153,7 +153,7 @@
       end(pair, fault.kind == Kind::reset);
       return false;
     case Kind::corrupt:
-      return true;  // the bytes are corrupted already
+      return true;  // the injector has corrupted the bytes
   }
   return true;
 }
@@ -163,8 +163,8 @@
                      [&](const auto& step) { return carry_out(pair, *step.fault); });
 }
 
-// Writes the pieces of a lane whose time has come, as far as its receiver takes them. False: the receiver is
-// gone.
+// Writes the due pieces of a lane as far as its receiver accepts them. Returns false if the receiver has
+// disconnected.
 bool Relay::pass_due(Lane& lane, End& to, Direction direction) {
   while (!lane.pieces.empty() && lane.pieces.front().at_ms <= context_.now_ms) {
     auto& piece = lane.pieces.front();
@@ -234,7 +234,7 @@
   bool timed = std::any_of(plan_.entries().begin(), plan_.entries().end(), [](const auto& entry) {
     return entry.injection.position == FaultInjection::Position::time;
   });
-  set_timer(tick_number, tick_timer_, context_.now_ms + (timed ? tick_ms : idle_tick_ms));
+  set_timer(tick_timer_number, tick_timer_, context_.now_ms + (timed ? tick_ms : idle_tick_ms));
 }
 
 void Relay::tick(Pair& pair) {
@@ -244,11 +244,11 @@
 }
 
 void Relay::on_timer(std::uint64_t number) {
-  if (number == tick_number) return tick();
+  if (number == tick_timer_number) return tick();
   auto it = pairs_.find(number);
   if (it == pairs_.end()) return;
   auto& pair = *it->second;
-  // What has passed makes place for bytes that still lie with the system.
+  // Forwarded pieces make room in the lane for bytes still in the socket's buffer.
   if (pass_due(pair)) read_from_both(pair);
 }
 
--- a/src/testbed/stand_ins/relay.hpp
+++ b/src/testbed/stand_ins/relay.hpp
@@ -1,4 +1,4 @@
-// The relay between two sockets: passes bytes in both directions and carries out the faults that a plan
+// The relay between two sockets: forwards bytes in both directions and carries out the faults that a plan
 // injects.
 #pragma once
 
@@ -20,8 +20,8 @@
 
 class Relay final : transport::Ready, public TestbedContext::Component {
  public:
-  // Throws std::system_error where it can't listen. The plan's times count from `begin_ms`; it outlives the
-  // relay.
+  // Throws std::system_error if it cannot listen. The plan outlives the relay; its times count from
+  // `begin_ms`.
   Relay(TestbedContext& context, const transport::Address& listen, transport::Address to, InjectionPlan& plan,
         double begin_ms);
   ~Relay() override;
@@ -30,7 +30,7 @@
 
   [[nodiscard]] transport::Address address() const { return listener_.address(); }
   static constexpr std::size_t max_records = 10000;
-  // The latest injected faults in order of time, at most so many; injection_count() counts all.
+  // The last `max_records` injected faults in order of time; injection_count() counts all.
   [[nodiscard]] const std::deque<InjectedFault>& injected() const { return injected_; }
   [[nodiscard]] std::uint64_t injection_count() const { return injection_count_; }
   [[nodiscard]] std::size_t open_connections() const { return pairs_.size(); }
@@ -50,16 +50,16 @@
         : pair(owner), in(direction_in), stream(context.loop, context.pool, std::move(fd), *this) {}
     void ready(std::uint32_t events) override;
     Pair& pair;
-    Direction in;  // the direction of the bytes that are read here
+    Direction in;  // the direction of the bytes read from this end
     transport::Stream stream;
-    bool ended = false;  // the peer has ended its stream
+    bool ended = false;  // the peer has closed its stream
   };
   struct Piece {
-    double at_ms;  // when it passes
+    double at_ms;  // earliest time of forwarding
     std::string bytes;
-    bool end;  // the end of the stream
+    bool end;  // forwards the end of the stream
   };
-  // The bytes of one direction that have been read and not passed on.
+  // The bytes of one direction that have been read and not forwarded yet.
   struct Lane {
     std::deque<Piece> pieces;
     std::size_t size = 0;  // bytes
@@ -73,7 +73,8 @@
     Relay& relay;
     std::uint64_t number;
     FaultInjector injector;
-    std::unique_ptr<End> client, server;  // the one that dialled, the one that was dialled
+    std::unique_ptr<End> client;  // the connection accepted from the client
+    std::unique_ptr<End> server;  // the connection opened to the server
     bool connected = false, black_holed = false;
     std::array<Lane, 2> lanes;
     double timer = transport::DueTimes::none;
@@ -81,13 +82,13 @@
 
   void ready(std::uint32_t) override;  // the listener
   void open_pair(transport::Fd fd);
-  // The functions below may end the pair, and destroy it at the end of the turn.
+  // The functions below may end the pair, which is destroyed at the end of the turn.
   void read_from(Pair& pair, End& from);
   void read_from_both(Pair& pair);
   void on_stream_end(Pair& pair, End& from);
   void queue_steps(Pair& pair, Direction direction, std::vector<FaultInjector::Step> steps);
   void queue_bytes(Lane& lane, std::string bytes);
-  // These say false where the pair has ended.
+  // These return false if the pair has ended.
   bool carry_out(Pair& pair, const FaultInjection& fault);
   bool carry_out_all(Pair& pair, const std::vector<FaultInjector::Step>& steps);
   bool pass_due(Pair& pair);
--- a/src/testbed/stand_ins/server.cpp
+++ b/src/testbed/stand_ins/server.cpp
@@ -107,8 +107,8 @@
                                      .calls_left = request_class.downstream_calls};
 }
 
-// The work belongs to the request, not to the server: it follows from the id, so that two builds get the same
-// work whichever server they choose. What follows the id's last dot counts the attempts of one request.
+// Derives the work from the request id alone, so that two builds get the same work whichever server they
+// choose. The id's part after the last dot is the attempt's number and doesn't count.
 double Server::work_of(const Request& request, bool first) const {
   auto request_id = std::string_view(request.id).substr(0, request.id.rfind('.'));
   const auto& spec = *request.request_class;
@@ -154,16 +154,16 @@
   record.started_ms = context_.now_ms;
 }
 
-// Down for good: all connections are reset and nobody listens.
+// Stops for the rest of the run: all connections are reset and the listeners closed.
 void Server::crash() {
   environment_.on_server_crashed(config_.tier, config_.server);
   stop();
 }
 
-void Server::answer(Request& request, int status, bool never_ran) {
+void Server::answer(Request& request, int status, bool not_executed) {
   records_[request.record].answered_ms = context_.now_ms;
   auto headers = load_report();
-  if (never_ran) headers += std::string(names::not_executed) + ": 1\r\n";
+  if (not_executed) headers += std::string(names::not_executed) + ": 1\r\n";
   std::string body;
   if (status == 200) {
     body = request.id + "\n";
@@ -171,7 +171,7 @@
     if (size > body.size()) body.append(size - body.size(), '.');
   }
   auto connection = request.connection;
-  // `request` ends here.
+  // Erasing the entry destroys `request`.
   if (auto it = receptions_.find(connection); it != receptions_.end()) {
     requests_.erase(it->second.job);
     receptions_.erase(it);
@@ -207,7 +207,7 @@
   } else if (request.black_holed) {
     requests_.erase(it);
   } else {
-    request.disconnected = true;  // it runs on, for nobody
+    request.disconnected = true;  // a started job runs to its end without a response
   }
 }
 
@@ -226,7 +226,7 @@
   arm();
 }
 
-// Its own work is done: calls come next, then the answer.
+// The server's own work is done: makes the downstream calls, then responds.
 void Server::on_work_done(JobId job) {
   auto it = requests_.find(job);
   if (it == requests_.end()) return;
--- a/src/testbed/stand_ins/server.hpp
+++ b/src/testbed/stand_ins/server.hpp
@@ -1,5 +1,5 @@
-// Stand-in for a server: plays the server model on sockets and keeps the records of what reached it. It has
-// an address for each balancer, so that it knows whose request it has without being told.
+// Stand-in for a server: runs the server model on sockets and records the requests that reach it. It listens
+// on one address per balancer, so that the listener identifies the balancer of a request.
 #pragma once
 
 #include <cstdint>
@@ -23,15 +23,15 @@
     double idle_ms = 30000, speed = 1;
     std::vector<std::string> load_report_columns;
   };
-  // What it needs of the other stand-ins. Outlives the server.
+  // The server's interface to the other stand-ins. Outlives the server.
   class Environment {
    public:
-    // Null where there is no such class.
+    // Returns null if there is no such class.
     virtual const RequestClassSpec* request_class(std::string_view name) = 0;
     virtual std::shared_ptr<DeduplicationCache> deduplication_cache(const RequestClassSpec& request_class,
                                                                     int tier, int server) = 0;
-    // Calls the next tier for a job; the server is told of its outcome by on_call_finished(). False: it
-    // can't.
+    // Calls the next tier for a job; on_call_finished() reports the outcome. Returns false if no call was
+    // made.
     virtual bool call(Server& from, JobId job, const RequestClassSpec& request_class,
                       std::string_view parent_id, int number, double deadline_ms) = 0;
     virtual void on_server_crashed(int tier, int server) = 0;
@@ -44,15 +44,15 @@
   Server(TestbedContext& context, Environment& environment, Config config, ServerModelSpec spec,
          std::vector<ServerRecord>& records);
 
-  // Listens at these addresses, one for each balancer; with `slow_start` it warms up from now on. Throws
-  // std::system_error where it can't listen.
+  // Listens on these addresses, one for each balancer; `slow_start` begins a slow start now. Throws
+  // std::system_error if it cannot listen.
   void start(const std::vector<transport::Address>& listen_at, bool slow_start);
-  // Dies: connections are reset, new ones refused.
+  // Resets all connections and refuses new ones.
   void stop();
   [[nodiscard]] transport::Address address(int listener) const { return http_.address(listener); }
   [[nodiscard]] int tier() const { return config_.tier; }
   [[nodiscard]] double started_at_ms() const { return started_at_ms_; }
-  // Null while it is stopped. Whoever changes the model calls on_model_changed() after.
+  // Null while the server is stopped. Every change of the model is followed by on_model_changed().
   [[nodiscard]] ServerModel* model() { return model_.get(); }
   void on_model_changed() { arm(); }
   void on_call_finished(JobId job, Outcome outcome);
@@ -60,19 +60,19 @@
   void on_timer(std::uint64_t number) override;
 
  private:
-  struct Request {  // that the model has
+  struct Request {  // admitted by the model
     ConnectionId connection = 0;
-    std::size_t record = 0;  // its index
+    std::size_t record = 0;  // index in records_
     const RequestClassSpec* request_class = nullptr;
     std::string id;
     double deadline_ms = 0;
     int calls_left = 0, calls_made = 0;
     bool disconnected = false, black_holed = false;
   };
-  struct Reception {  // from a request's first byte until its answer
+  struct Reception {  // from a request's first byte until its response
     double first_byte_ms = 0;
     int listener = 0;
-    JobId job = 0;  // 0: not complete yet
+    JobId job = 0;  // 0: the request is incomplete
   };
   void on_first_byte(ConnectionId connection, int listener) override;
   void on_request(ConnectionId connection, int listener, const protocol::Message& message,
@@ -81,16 +81,16 @@
   void answer_probe(ConnectionId connection, bool with_body);
   Request& record_request(ConnectionId connection, int listener, const protocol::Message& message,
                           const RequestClassSpec& request_class);
-  // Work of a request, ms at full speed.
+  // The work of a request in ms at full speed.
   [[nodiscard]] double work_of(const Request& request, bool first) const;
   void on_admission(Request& request, ServerModel::Admission admission);
   void mark_executed(const Request& request);
   void record_incomplete(const Reception& reception);
-  void answer(Request& request, int status, bool never_ran = false);
+  void answer(Request& request, int status, bool not_executed = false);
   void on_work_done(JobId job);
   void crash();
   void arm();
-  // The header line of the load report; empty where none is to be sent.
+  // Returns the header line of the load report; empty without report columns.
   [[nodiscard]] std::string load_report() const;
 
   Environment& environment_;
