--- a/src/testbed/address_plan.cpp
+++ b/src/testbed/address_plan.cpp
@@ -6,10 +6,15 @@
 
 namespace {
 
-// The second byte of 127.x.y.z. Servers and relays take one network for each balancer.
-constexpr int server_networks = 16, relay_networks = 64;
-constexpr int balancer_network = 112, discovery_network = 113, datagram_network = 114, peer_network = 120;
-constexpr int servers_per_subnet = 250, subnets_per_tier = 20;
+// The second byte of 127.x.y.z. Servers and relays have one network per balancer, from the first on.
+constexpr int first_server_network = 16;
+constexpr int first_relay_network = 64;
+constexpr int balancer_network = 112;
+constexpr int discovery_network = 113;
+constexpr int datagram_network = 114;
+constexpr int peer_network = 120;
+constexpr int servers_per_subnet = 250;
+constexpr int subnets_per_tier = 20;
 
 transport::Address loopback(int a, int b, int c, int port) {
   return *transport::Address::parse("127." + std::to_string(a) + "." + std::to_string(b) + "." +
@@ -24,10 +29,10 @@
 }  // namespace
 
 transport::Address AddressPlan::server(int tier, int server, int balancer) const {
-  return in_networks(server_networks, tier, server, balancer, port);
+  return in_networks(first_server_network, tier, server, balancer, port);
 }
 transport::Address AddressPlan::relay(int tier, int server, int balancer) const {
-  return in_networks(relay_networks, tier, server, balancer, port);
+  return in_networks(first_relay_network, tier, server, balancer, port);
 }
 transport::Address AddressPlan::balancer(int tier, int balancer) const {
   return loopback(balancer_network, tier, 1 + balancer, port);
--- a/src/testbed/address_plan.hpp
+++ b/src/testbed/address_plan.hpp
@@ -1,4 +1,4 @@
-// Where everything of a run listens: loopback addresses of its own, all with one port that the system gave.
+// The addresses of a run: distinct loopback addresses that share one free port.
 #pragma once
 
 #include "transport/address.hpp"
@@ -7,13 +7,13 @@
 
 struct AddressPlan {
   int port = 0;
-  // Each server has an address for each balancer, and so has the relay before it.
+  // A server has one address per balancer, and so does the relay in front of it.
   [[nodiscard]] transport::Address server(int tier, int server, int balancer) const;
   [[nodiscard]] transport::Address relay(int tier, int server, int balancer) const;
   [[nodiscard]] transport::Address balancer(int tier, int balancer) const;
   // The discovery agent of a balancer.
   [[nodiscard]] transport::Address discovery(int tier, int balancer) const;
-  // Where a balancer of the first tier receives datagrams, and where it sends those for a peer.
+  // The address on which a balancer of the first tier receives datagrams, and its address for a peer.
   [[nodiscard]] transport::Address datagrams(int balancer) const;
   [[nodiscard]] transport::Address peer(int balancer, int peer) const;
 };
--- a/src/testbed/balancer_config_json.cpp
+++ b/src/testbed/balancer_config_json.cpp
@@ -102,7 +102,7 @@
           {"limits", limits_json(experiment, tier)}};
 }
 
-// `a.b.c` names a nested setting. A value that is no JSON is text.
+// Sets the nested setting `a.b.c`. A value that is not valid JSON is a string.
 void override_setting(json& settings, const std::string& path, const std::string& value) {
   std::string pointer = "/" + path;
   std::replace(pointer.begin(), pointer.end(), '.', '/');
--- a/src/testbed/balancer_config_toml.cpp
+++ b/src/testbed/balancer_config_toml.cpp
@@ -15,7 +15,7 @@
   return "[" + list + "]";
 }
 
-// Writes the file table by table, in the order in which an operator would.
+// Writes the file table by table, in the order of the operators' documentation.
 class Writer {
  public:
   Writer(const Experiment& experiment, const BuildSpec& build, int balancer,
@@ -136,7 +136,7 @@
     auto listed = [&](int balancer) {
       return std::find(members.begin(), members.end(), balancer) != members.end();
     };
-    // One that is not a member yet gets the file of those to come.
+    // A balancer outside `members` joins later and lists all balancers.
     bool all = members.empty() || !listed(balancer_);
     for (int peer = 0; peer < tier_.balancers; ++peer) {
       if (!all && !listed(peer)) continue;
--- a/src/testbed/balancer_events.hpp
+++ b/src/testbed/balancer_events.hpp
@@ -1,5 +1,4 @@
-// Events of balancers that came up or went down, from the thread that runs their processes to one other
-// thread.
+// Availability events of balancers, from the thread that runs their processes to one other thread.
 #pragma once
 
 #include <atomic>
@@ -21,7 +20,7 @@
     events_.push_back(event);
     has_events_ = true;
   }
-  // All events since the last call, in order. Costs one load where there are none.
+  // Returns all events since the last call, in order. Costs one load if there are none.
   std::vector<Event> take() {
     if (!has_events_.load(std::memory_order_relaxed)) return {};
     std::lock_guard lock(mutex_);
--- a/src/testbed/balancer_lifecycle.cpp
+++ b/src/testbed/balancer_lifecycle.cpp
@@ -3,7 +3,7 @@
 namespace meadowgauge::testbed {
 
 namespace {
-constexpr double max_graceful_exit_ms = 8000;
+constexpr double graceful_shutdown_timeout_ms = 8000;
 }
 
 using Cause = BalancerExit::Cause;
@@ -21,7 +21,7 @@
       break;
   }
   bool kill = action.kind == Action::Kind::kill;
-  // One that is exiting already is only killed on top of it.
+  // A process that is exiting already accepts a kill but no second graceful shutdown.
   if (exit_requested_ && !kill) return Signal::none;
   exit_requested_ = true;
   requested_at_ms_ = now_ms;
@@ -32,7 +32,7 @@
 
 BalancerLifecycle::Signal BalancerLifecycle::overdue_signal(double now_ms) {
   bool exiting_gracefully = running_ && exit_requested_ && cause_ == Cause::planned;
-  if (!exiting_gracefully || killed_overdue_ || now_ms <= requested_at_ms_ + max_graceful_exit_ms)
+  if (!exiting_gracefully || killed_overdue_ || now_ms <= requested_at_ms_ + graceful_shutdown_timeout_ms)
     return Signal::none;
   killed_overdue_ = true;
   return Signal::kill;
--- a/src/testbed/balancer_lifecycle.hpp
+++ b/src/testbed/balancer_lifecycle.hpp
@@ -1,5 +1,5 @@
-// The lifecycle of one balancer process under the actions of a run: which signal it gets, whether its exit
-// was asked for, and when it is started again. Values only; times are milliseconds on the caller's clock.
+// The lifecycle of one balancer process under the actions of a run: the signals to send, whether an exit was
+// requested, and the time of the restart. Values only; times are milliseconds on the caller's clock.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +13,14 @@
  public:
   enum class Signal : std::uint8_t { none, kill, terminate, pause, resume, reload };
 
-  // An action's time has come; `begin_ms` is the begin of the run. Says what the process is to be sent.
+  // Applies an action that is due; returns the signal for the process. `begin_ms`: the begin of the run.
   Signal apply(const Action& action, double begin_ms, double now_ms);
-  // What is to be sent by now without an action: a graceful exit that takes too long is cut short by a kill,
-  // once.
+  // Returns `kill` once if a graceful shutdown has exceeded its timeout, else `none`.
   Signal overdue_signal(double now_ms);
-  // The process has exited with this status, negative for a signal. An exit that nobody asked for, or a
-  // graceful one with another status than 0, is a crash; after an exit that nobody asked for it is not
-  // started again.
+  // The process has exited with this status, negative for a signal. An unrequested exit, or a graceful
+  // shutdown with a status other than 0, is a crash. There is no restart after an unrequested exit.
   BalancerExit exited(int tier, int balancer, int status, double now_ms);
-  // True once, when the process is to be started again.
+  // Returns true once when the restart is due.
   bool take_restart(double now_ms);
   [[nodiscard]] bool running() const { return running_; }
 
--- a/src/testbed/balancer_processes.cpp
+++ b/src/testbed/balancer_processes.cpp
@@ -27,13 +27,17 @@
 }  // namespace
 
 BalancerProcesses::BalancerProcesses(const Experiment& experiment, const BuildSpec& build, std::uint64_t seed,
-                                     const AddressPlan& addresses, std::string folder,
-                                     const EndpointList& endpoint_list, int first_cpu)
-    : experiment_(experiment), build_(build), seed_(seed), addresses_(addresses), folder_(std::move(folder)) {
+                                     const AddressPlan& addresses, Placement placement,
+                                     const EndpointList& endpoint_list)
+    : experiment_(experiment),
+      build_(build),
+      seed_(seed),
+      addresses_(addresses),
+      folder_(std::move(placement.folder)) {
   if (build.program.empty()) return;
   for (int tier = 0; tier < static_cast<int>(experiment.tiers.size()); ++tier)
     for (int b = 0; b < experiment.tiers[static_cast<std::size_t>(tier)].balancers; ++b) {
-      int cpu = first_cpu < 0 ? -1 : first_cpu + static_cast<int>(balancers_.size());
+      int cpu = placement.first_cpu < 0 ? -1 : placement.first_cpu + static_cast<int>(balancers_.size());
       balancers_.push_back({tier, b, Process(process_options(tier, b, endpoint_list(tier, b), cpu))});
     }
   actions_ = schedule_actions(experiment, seed);
@@ -76,7 +80,9 @@
   for (auto& balancer : balancers_) {
     auto address = addresses_.balancer(balancer.tier, balancer.balancer);
     if (!becomes_ready(address, ready_timeout_ms, balancer.process))
-      throw std::runtime_error(build_.program + " does not become ready; see " + balancer.process.log());
+      throw std::runtime_error(build_.program + " did not become ready within " +
+                               std::to_string(static_cast<int>(ready_timeout_ms)) + " ms; see " +
+                               balancer.process.log());
   }
 }
 
@@ -94,7 +100,7 @@
 void BalancerProcesses::apply(Balancer& balancer, const Action& action, double begin_ms, double now_ms,
                               const AvailabilitySink& on_availability) {
   auto signal = balancer.lifecycle.apply(action, begin_ms, now_ms);
-  // The file is there before the signal that has it read.
+  // The file must be complete before SIGHUP makes the process read it.
   if (signal == Signal::reload && experiment_.fleet && balancer.tier == 0)
     write_config_file(balancer.balancer, experiment_.faults[static_cast<std::size_t>(action.value)].members);
   record_pause(balancer, signal, now_ms);
--- a/src/testbed/balancer_processes.hpp
+++ b/src/testbed/balancer_processes.hpp
@@ -1,5 +1,4 @@
-// The balancer processes of one run: started with their configurations, signalled as the schedule says,
-// watched, and started again. Used by one thread.
+// Starts, signals, watches and restarts the balancer processes of one run. Used by one thread.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +13,7 @@
 
 namespace meadowgauge::testbed {
 
-// What a balancer used over all its processes that have exited.
+// Resources used by a balancer, over all its processes that have exited.
 struct BalancerUsage {
   int tier = 0, balancer = 0;
   double cpu_ms = 0;
@@ -24,26 +23,29 @@
 
 class BalancerProcesses {
  public:
-  // A balancer is to be taken out of the front balancer, or in again.
+  // Called when the front balancer must remove a balancer or add it again.
   using AvailabilitySink = std::function<void(int tier, int balancer, bool up)>;
-  // The endpoint list that a balancer starts with.
+  // Returns the initial endpoint list of a balancer.
   using EndpointList = std::function<std::string(int tier, int balancer)>;
 
-  // Writes the configurations into `folder`, which is there. `first_cpu`: processes are pinned to cores of
-  // their own from this on; -1: not. Experiment and build outlive it.
+  struct Placement {
+    std::string folder;  // exists; for configurations and logs
+    int first_cpu = -1;  // pins each process to a core of its own, from this core on; -1: no pinning
+  };
+
+  // Writes the configurations. Experiment and build outlive the processes.
   BalancerProcesses(const Experiment& experiment, const BuildSpec& build, std::uint64_t seed,
-                    const AddressPlan& addresses, std::string folder, const EndpointList& endpoint_list,
-                    int first_cpu);
+                    const AddressPlan& addresses, Placement placement, const EndpointList& endpoint_list);
 
-  // Starts all and waits until they are ready. Throws std::system_error where one can't be started and
-  // std::runtime_error where one does not become ready. Called while this process has one thread.
+  // Starts all processes and waits until they are ready. Throws std::system_error if one cannot be started
+  // and std::runtime_error if one does not become ready. Requires that this process has one thread.
   void start_all();
-  // Carries out what is due; times are ms on the run's clock, which began the run at `begin_ms`.
+  // Carries out the actions that are due; times are ms on the run's clock, and the run began at `begin_ms`.
   void poll(double begin_ms, double now_ms, const AvailabilitySink& on_availability);
-  // Kills all and waits for them.
+  // Kills all processes and waits for their exit.
   void stop_all();
 
-  // These hold after stop_all().
+  // Valid after stop_all().
   [[nodiscard]] std::vector<BalancerUsage> usage() const;
   [[nodiscard]] std::vector<BalancerExit>& exits() { return exits_; }
   [[nodiscard]] std::vector<BalancerPause>& pauses() { return pauses_; }
@@ -53,11 +55,11 @@
     int tier, balancer;
     Process process;
     BalancerLifecycle lifecycle{};
-    bool starting = false;  // started again, not ready yet
+    bool starting = false;  // restarted, not ready yet
   };
   [[nodiscard]] Process::Options process_options(int tier, int balancer, const std::string& endpoint_list,
                                                  int cpu);
-  // Writes the operator's file of a balancer of the first tier; gives its path.
+  // Writes the operator's file of a balancer of the first tier; returns the path.
   std::string write_config_file(int balancer, const std::vector<int>& members);
   void apply(Balancer& balancer, const Action& action, double begin_ms, double now_ms,
              const AvailabilitySink& on_availability);
@@ -70,7 +72,7 @@
   AddressPlan addresses_;
   std::string folder_;
   std::vector<Balancer> balancers_;
-  std::vector<Action> actions_;  // those at balancers
+  std::vector<Action> actions_;  // on balancers
   std::size_t next_action_ = 0;
   std::vector<BalancerExit> exits_;
   std::vector<BalancerPause> pauses_;
--- a/src/testbed/context.hpp
+++ b/src/testbed/context.hpp
@@ -1,5 +1,5 @@
-// What the components of one thread share: event loop, buffers, timers, and one reading of the clock a turn.
-// A run has one context for the servers and one for each worker of the load generator.
+// Shared by the components of one thread: event loop, buffers, timers, and one clock reading per turn. A run
+// has one context for the servers and one for each worker of the load generator.
 #pragma once
 
 #include <algorithm>
@@ -16,15 +16,15 @@
 
 class TestbedContext {
  public:
-  // All contexts of a run take the same clock, which outlives them.
+  // All contexts of a run share one clock, which outlives them.
   explicit TestbedContext(const transport::Clock& clock, std::size_t buffers = 32768)
       : pool(buffers), clock_(clock), now_ms(clock.now()) {}
   TestbedContext(const TestbedContext&) = delete;
   TestbedContext& operator=(const TestbedContext&) = delete;
   ~TestbedContext() = default;
 
-  // Something with timers, and with members that may be destroyed only between turns, since the loop may
-  // still hold events for them. The context outlives it.
+  // A component with timers, and with members that may be destroyed only between turns, since the loop may
+  // still hold events for them. The context outlives the component.
   class Component {
    public:
     explicit Component(TestbedContext& context) : context_(context), index_(context.components_.size()) {
@@ -32,9 +32,9 @@
     }
     Component(const Component&) = delete;
     Component& operator=(const Component&) = delete;
-    // The timer `number` has expired. It stays listed until it is set anew.
+    // The timer `number` has expired. It stays due until the component sets or clears it.
     virtual void on_timer(std::uint64_t /*number*/) {}
-    // Destroys what was closed during this turn.
+    // Destroys the members closed during this turn.
     virtual void cleanup() {}
 
    protected:
@@ -42,12 +42,12 @@
       context_.components_[index_] = nullptr;
       std::erase(context_.cleanups_, this);
     }
-    // Sets timer `number`, below 2^40, to `at_ms`; DueTimes::none clears it. `kept` is where the caller keeps
-    // the time that is set.
+    // Sets timer `number`, below 2^40, to `at_ms`; DueTimes::none clears it. `kept` is the caller's variable
+    // for the current time of the timer.
     void set_timer(std::uint64_t number, double& kept, double at_ms) {
       context_.timers_.set(index_ << number_bits | number, kept, at_ms);
     }
-    // Has cleanup() called at the end of this turn.
+    // Schedules cleanup() for the end of this turn.
     void schedule_cleanup() {
       if (std::exchange(cleanup_scheduled_, true)) return;
       context_.cleanups_.push_back(this);
@@ -60,7 +60,7 @@
     bool cleanup_scheduled_ = false;
   };
 
-  // Waits for events for `max_wait_ms` at most and handles them, then the timers, then the cleanups.
+  // Waits for events for at most `max_wait_ms`, then handles events, timers and cleanups.
   void run_once(double max_wait_ms) {
     loop.wait(cleanups_.empty() ? std::min(max_wait_ms, timers_.next() - now_ms) : 0);
     now_ms = clock_.now();
@@ -72,13 +72,13 @@
       component->cleanup();
     }
   }
-  // Asks `until` between turns, at least every 50 ms.
+  // Runs turns until `until` returns true, which is called at least every 50 ms.
   template <class Until>
   void run(Until&& until) {
     while (!until()) run_once(max_turn_ms);
   }
 
-  // The clock as it stands, which within a long turn is later than `now_ms`.
+  // Reads the clock, which is ahead of `now_ms` within a long turn.
   [[nodiscard]] double read_clock() const { return clock_.now(); }
 
   transport::Loop loop;
@@ -93,7 +93,7 @@
   std::vector<Component*> components_, cleanups_;
 
  public:
-  double now_ms;  // as read at the begin of this turn
+  double now_ms;  // the clock reading at the begin of this turn
 };
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/experiment.cpp
+++ b/src/testbed/experiment.cpp
@@ -9,7 +9,7 @@
 namespace meadowgauge::testbed {
 
 namespace {
-constexpr double checker_slack_ms = 50;  // what a loaded machine may delay the testbed's own readings by
+constexpr double checker_slack_ms = 50;  // scheduling delay of the testbed on a loaded machine
 }
 
 std::vector<int> Experiment::targets_of(std::size_t fault_index, std::uint64_t seed) const {
--- a/src/testbed/experiment_reader.cpp
+++ b/src/testbed/experiment_reader.cpp
@@ -1,5 +1,5 @@
-// Reads an experiment file: each table of the file into its struct, then the checks that need all of it. The
-// keys are the operators' interface and stay as they are, whatever the members are called.
+// Reads an experiment file: each table into its struct, then the checks across tables. The keys are the
+// users' interface and keep their names; the structs use the field's terms.
 #include <set>
 #include <sstream>
 
@@ -14,7 +14,8 @@
 
 namespace {
 
-constexpr double max_seconds = 3600, max_ms = max_seconds * 1000;
+constexpr double max_run_s = 3600;
+constexpr double max_ms = max_run_s * 1000;
 constexpr int max_server_number = 100000;
 // In the order of FaultSpec::Kind.
 const std::initializer_list<std::string_view> fault_words = {"kill",
@@ -31,14 +32,14 @@
                                                              "freeze_balancer",
                                                              "reload_balancer"};
 
-// A key in seconds into milliseconds.
+// Reads a key in seconds as milliseconds.
 void read_seconds(Reader& r, std::string_view key, double& ms) {
   double seconds = ms / 1000;
-  r.get(key, seconds, 0, max_seconds);
+  r.get(key, seconds, 0, max_run_s);
   ms = seconds * 1000;
 }
 
-// A list of "N" or "N-M" each.
+// Reads a list whose items are "N" or "N-M".
 std::vector<int> read_numbers(Reader& r, std::string_view key) {
   std::vector<std::string> texts;
   std::vector<int> numbers;
@@ -52,7 +53,7 @@
     to = from;
     if (in >> dash) in >> to;
     if (from < 0 || to < from || to > max_server_number) {
-      r.wrong(key, "holds what is neither N nor N-M: " + text);
+      r.wrong(key, "must hold items N or N-M, not: " + text);
       continue;
     }
     for (int i = from; i <= to; ++i) numbers.push_back(i);
@@ -67,13 +68,13 @@
   for (const auto& text : texts) {
     std::istringstream in(text);
     double share = -1;
-    if (!(in >> share) || share < 0) r.wrong("zone_shares", "holds what is no share: " + text);
+    if (!(in >> share) || share < 0) r.wrong("zone_shares", "must hold shares of at least 0, not: " + text);
     shares.push_back(share);
   }
   return shares;
 }
 
-// `name`, which must be there.
+// Reads the required key `name`.
 std::string read_name(Reader& r) {
   std::string name;
   r.need("name");
@@ -100,7 +101,7 @@
   r.get("servers", tier.servers, 1, 5000);
   r.get("balancers", tier.balancers, 1, 32);
   r.get("zones", tier.zones);
-  if (tier.zones.empty()) r.wrong("zones", "names none");
+  if (tier.zones.empty()) r.wrong("zones", "must not be empty");
   read_server_model(r, tier.server);
   r.get("block", tier.block, 0, 5000);
   r.get("idle_ms", tier.idle_ms, 1, max_ms);
@@ -125,7 +126,7 @@
   r.choose("group", spec.scope, {"all", "zone", "block"});
   r.get("key_window_ms", spec.deduplication_window_ms, 0, max_ms);
   if (spec.idempotency == Idempotency::deduplicated && spec.deduplication_window_ms <= 0)
-    r.wrong("repeat", "is tagged, so key_window_ms is needed");
+    r.wrong("repeat", "is tagged, which needs key_window_ms");
   r.get("work_ms", spec.work_ms, 0, max_ms);
   r.get("spread", spec.spread, 0, 10);
   r.get("target_latency_ms", spec.latency_objective_ms, 1, max_ms);
@@ -136,7 +137,7 @@
   r.get("calls", spec.downstream_calls, 0, 100);
   r.get("calls_to", spec.downstream_class);
   if (spec.downstream_calls > 0 && spec.downstream_class.empty())
-    r.wrong("calls", "wants calls_to, a path prefix");
+    r.wrong("calls", "needs calls_to, a path prefix");
   return spec;
 }
 
@@ -158,7 +159,7 @@
   phase.to = phase.from;
   r.get("to_times", phase.to, 0, 1000);
   r.get("tenant", phase.tenant);
-  if (duration_ms <= 0) r.wrong("for", "is nothing");
+  if (duration_ms <= 0) r.wrong("for", "must be above 0");
   return phase;
 }
 
@@ -167,7 +168,7 @@
   r.need("at");
   read_seconds(r, "at", change.at_ms);
   change.zones = read_zone_shares(r);
-  if (change.zones.empty()) r.wrong("zone_shares", "are needed");
+  if (change.zones.empty()) r.wrong("zone_shares", "must not be empty");
   return change;
 }
 
@@ -216,9 +217,9 @@
     if (const auto named = protocol::named_value(setting))
       build.settings.emplace_back(named->name, named->value);
     else
-      r.wrong("set", "holds no name=value: " + setting);
+      r.wrong("set", "must hold items name=value, not: " + setting);
   }
-  if (direct == !build.program.empty()) r.wrong("program", "is needed, or direct = true in its place");
+  if (direct == !build.program.empty()) r.wrong("program", "is needed, unless direct = true");
   return build;
 }
 
@@ -276,7 +277,7 @@
   r.get("at_once", fault.at_once, 1, 5000);
   r.get("drain_ms", fault.drain_ms, 0, max_ms);
   r.get("down_ms", fault.down_ms, 0, max_ms);
-  if (fault.at_ms >= run_ms) r.wrong("at", "is past the day's end");
+  if (fault.at_ms >= run_ms) r.wrong("at", "is after the end of the run");
   return fault;
 }
 
@@ -287,7 +288,7 @@
   for (const auto& text : texts) {
     auto parsed = FaultInjection::parse(text);
     if (const auto* error = std::get_if<FaultInjectionError>(&parsed))
-      r.wrong("strikes", "holds '" + text + "': " + error->text());
+      r.wrong("strikes", "holds an invalid fault '" + text + "': " + error->text());
     else
       injections.push_back(std::get<FaultInjection>(std::move(parsed)));
   }
@@ -307,7 +308,7 @@
   std::set<std::string> names;
   r.each("builds", [&](Reader& b) {
     auto build = read_build(b);
-    if (!names.insert(build.name).second) b.wrong("name", "stands twice: " + build.name);
+    if (!names.insert(build.name).second) b.wrong("name", "is used twice: " + build.name);
     e.builds.push_back(std::move(build));
   });
   if (e.builds.empty())
@@ -317,7 +318,7 @@
 void read_experiment(Reader& r, Experiment& e) {
   r.get("name", e.name);
   r.get("about", e.about);
-  r.get("seconds", e.seconds, 0.1, max_seconds);
+  r.get("seconds", e.seconds, 0.1, max_run_s);
   read_seeds(r, e);
   r.get("repetitions", e.repetitions, 1, 1000);
   r.get("recovered_share", e.recovered_share, 0, 1);
@@ -337,13 +338,13 @@
   r.each("faults", [&](Reader& f) { e.faults.push_back(read_fault(f, e.ms())); });
   if (r.has("fleet")) r.table("fleet", [&](Reader& f) { read_fleet(f, e.fleet.emplace()); });
   r.each("letters", [&](Reader& l) { e.datagram_faults.push_back(read_datagram_fault(l, e.ms())); });
-  if (!e.datagram_faults.empty() && !e.fleet) r.wrong("letters", "want a [fleet]");
+  if (!e.datagram_faults.empty() && !e.fleet) r.wrong("letters", "need a [fleet]");
   e.injections = read_injections(r);
   validate(r, e);
   r.end();
 }
 
-// The name of a file without its folders and its ending.
+// Returns the name of a file without its folders and its extension.
 std::string base_name(const std::string& path) {
   auto slash = path.rfind('/');
   auto name = path.substr(slash == std::string::npos ? 0 : slash + 1);
--- a/src/testbed/experiment_validation.hpp
+++ b/src/testbed/experiment_validation.hpp
@@ -1,4 +1,4 @@
-// Checks of an experiment that need all of its tables.
+// Checks of an experiment across its tables.
 #pragma once
 
 #include "settings/tree.hpp"
@@ -6,7 +6,7 @@
 
 namespace meadowgauge::testbed {
 
-// Appends what does not fit together to the problems of `reader`, which reads the file's top table.
+// Appends inconsistencies to the problems of `reader`, which reads the file's top table.
 void validate(settings::Reader& reader, const Experiment& experiment);
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/html_plot.hpp
+++ b/src/testbed/html_plot.hpp
@@ -1,4 +1,4 @@
-// A line plot as SVG for the HTML report: some series over the run, its faults shaded.
+// A line plot as SVG for the HTML report: series over the time of the run, with shaded faults.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 std::string svg_plot(const Experiment& experiment, const RunMetrics& metrics, const std::string& title,
                      const std::string& unit, const std::vector<Series>& series);
 
-// Text as it may stand in HTML and in its attributes.
+// Escapes text for HTML content and attributes.
 std::string html_escaped(std::string_view text);
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/load_generator.cpp
+++ b/src/testbed/load_generator.cpp
@@ -29,12 +29,12 @@
 }  // namespace
 
 LoadGenerator::LoadGenerator(TestbedContext& context, const Experiment& experiment, std::uint64_t seed,
-                             std::vector<HttpClient::Target> targets, LoadCounts& counts, int worker,
-                             int workers)
+                             std::vector<HttpClient::Target> targets, LoadCounts& counts, LoadWorker worker)
     : Component(context),
       experiment_(experiment),
       seed_(seed),
-      traffic_(experiment.traffic, experiment.request_classes, experiment.tenants, seed, worker, workers),
+      traffic_(experiment.traffic, experiment.request_classes, experiment.tenants, seed, worker.index,
+               worker.count),
       retries_(experiment.retries, seed),
       front_balancer_(groups_of(targets), experiment.front_detection_delay_ms),
       counts_(counts),
@@ -45,15 +45,15 @@
       timer_(timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC)) {
   if (!timer_) throw std::system_error(errno, std::generic_category(), "timerfd_create");
   timer_token_ = context_.loop.add(timer_.get(), *this, EPOLLIN);
-  // Some more than are meant to be sent, so that the vector does not grow under load.
-  attempts_.reserve(static_cast<std::size_t>(experiment.traffic.rate * experiment.seconds * 1.2 / workers) +
-                    1000);
-  open_kept_connections(workers);
+  // Reserves more than the scheduled requests, so that the vector doesn't grow under load.
+  attempts_.reserve(
+      static_cast<std::size_t>(experiment.traffic.rate * experiment.seconds * 1.2 / worker.count) + 1000);
+  open_persistent_connections(worker.count);
 }
 
 LoadGenerator::~LoadGenerator() { context_.loop.remove(timer_token_, timer_.get()); }
 
-void LoadGenerator::open_kept_connections(int workers) {
+void LoadGenerator::open_persistent_connections(int workers) {
   if (experiment_.connections <= 0) return;
   auto zones = std::max<std::size_t>(experiment_.traffic.zones.size(), 1);
   auto for_worker = static_cast<std::size_t>(experiment_.connections / workers);
@@ -73,7 +73,7 @@
   return begun_ && next_arrival_ms() >= end_ms_ && in_flight_ == 0 && retry_timers_.empty();
 }
 
-// A timer of the kernel has microseconds where epoll's own time-out is rounded up to a millisecond.
+// Uses a timerfd, because epoll rounds its timeout up to a millisecond.
 void LoadGenerator::arm() {
   double at_ms = next_arrival_ms();
   if (at_ms >= end_ms_) return;
@@ -135,8 +135,8 @@
                        .deadline_ms = request.deadline_ms});
   zones_.push_back(request.zone);
   ++in_flight_;
-  // The client waits as long as the checker allows: a response that is late by a turn of this loop is late,
-  // not lost.
+  // The client waits for the checker's slack as well, so that a response delayed by a turn of this loop
+  // counts as late and not as lost.
   client_.send(token, request.zone, message, std::move(id), request.deadline_ms + Contract{}.slack_ms);
 }
 
@@ -159,7 +159,7 @@
 
 void LoadGenerator::schedule_retry(std::uint64_t token) {
   auto& attempt = attempts_[token];
-  // What was surely not accepted counts as rejected: nothing of it can have run.
+  // An unreachable balancer accepted nothing, so the request can't have executed: counts as rejected.
   bool rejected = attempt.outcome == Outcome::rejected || attempt.outcome == Outcome::unreachable;
   const auto& spec = experiment_.request_classes[static_cast<std::size_t>(attempt.request_class)];
   auto wait_ms = retries_.delay_before_retry(attempt.request, attempt.number, rejected,
@@ -171,7 +171,7 @@
   set_timer(token, timer, context_.now_ms + *wait_ms);
 }
 
-// An attempt's next one is due.
+// A retry is due.
 void LoadGenerator::on_timer(std::uint64_t token) {
   auto it = retry_timers_.find(token);
   if (it == retry_timers_.end()) return;
--- a/src/testbed/load_generator.hpp
+++ b/src/testbed/load_generator.hpp
@@ -1,5 +1,5 @@
-// The load generator: sends each request when it should be sent, whatever became of those before, and counts
-// its time from there. One instance belongs to one thread; several workers share a run.
+// The open-loop load generator: sends each request at its scheduled time, independent of earlier responses,
+// and measures latency from that time. One instance belongs to one thread; several workers share a run.
 #pragma once
 
 #include <atomic>
@@ -16,36 +16,42 @@
 
 namespace meadowgauge::testbed {
 
-// What other threads may see while it runs; shared by all workers of a run.
+// Progress counters for other threads, shared by all workers of a run.
 struct LoadCounts {
   std::atomic<std::uint64_t> sent{0}, answered{0}, succeeded{0};
 };
 
+// One of several workers that share the traffic of a run.
+struct LoadWorker {
+  int index = 0;
+  int count = 1;
+};
+
 class LoadGenerator final : HttpClient::Handler, transport::Ready, TestbedContext::Component {
  public:
-  // `targets`: the balancers of the first tier, or the servers themselves. Experiment and counts outlive it.
-  // Throws std::system_error where there is no timer.
+  // `targets`: the balancers of the first tier, or the servers themselves. Experiment and counts outlive the
+  // generator. Throws std::system_error if no timer can be created.
   LoadGenerator(TestbedContext& context, const Experiment& experiment, std::uint64_t seed,
-                std::vector<HttpClient::Target> targets, LoadCounts& counts, int worker = 0, int workers = 1);
+                std::vector<HttpClient::Target> targets, LoadCounts& counts, LoadWorker worker = {});
   ~LoadGenerator() override;
   LoadGenerator(const LoadGenerator&) = delete;
   LoadGenerator& operator=(const LoadGenerator&) = delete;
 
-  // Sends from `begin_ms` on for the time of the run, then waits for what is in flight.
+  // Sends from `begin_ms` on for the duration of the run, then waits for the requests in flight.
   void begin(double begin_ms);
   [[nodiscard]] bool finished() const;
-  // Events of balancers of the first tier; may be published from another thread.
+  // Availability events of the first tier's balancers; another thread may publish them.
   [[nodiscard]] BalancerEventQueue& balancer_events() { return balancer_events_; }
 
   [[nodiscard]] std::vector<Attempt>& attempts() { return attempts_; }
-  // How late requests were sent, in ms, as a cost of the generator itself.
+  // The delay of sending after the scheduled time, ms: the load generator's own error.
   [[nodiscard]] const Histogram& send_delay() const { return send_delay_; }
   [[nodiscard]] std::uint64_t connections_opened() const { return client_.connections_opened(); }
 
   void on_timer(std::uint64_t token) override;
 
  private:
-  // What stays the same over all attempts of a request.
+  // The properties shared by all attempts of a request.
   struct Request {
     std::uint64_t number = 0;
     int request_class = 0, tenant = 0, zone = 0;
@@ -58,10 +64,10 @@
   void apply_balancer_events();
   void send_due();
   void send(const Request& request, int attempt_number, double intended_ms);
-  // Sets the timer of the next attempt, if the client's retry policy has one.
+  // Sets the timer of the next attempt if the retry policy allows one.
   void schedule_retry(std::uint64_t token);
   void arm();
-  void open_kept_connections(int workers);
+  void open_persistent_connections(int workers);
   [[nodiscard]] double next_arrival_ms() const { return begin_ms_ + next_arrival_.at_ms; }
 
   const Experiment& experiment_;
@@ -73,8 +79,8 @@
   BalancerEventQueue balancer_events_;
   HttpClient client_;
   std::vector<Attempt> attempts_;
-  std::vector<int> zones_;                                  // of the client, by attempt
-  std::unordered_map<std::uint64_t, double> retry_timers_;  // attempts that wait for their next, by index
+  std::vector<int> zones_;                                  // zone of the client, by attempt
+  std::unordered_map<std::uint64_t, double> retry_timers_;  // due time of the next attempt, by attempt index
   Histogram send_delay_;
   Arrival next_arrival_;
   double begin_ms_ = 0, end_ms_ = 0;
--- a/src/testbed/outgoing_request.hpp
+++ b/src/testbed/outgoing_request.hpp
@@ -1,4 +1,4 @@
-// A request in the operators' wire form, as clients and calling servers write it.
+// Serialization of a request as clients and calling servers send it.
 #pragma once
 
 #include <algorithm>
@@ -11,15 +11,15 @@
 
 namespace meadowgauge::testbed {
 
-// Views only; all of it outlives the call to serialize().
+// Views, which must outlive the call to serialize().
 struct OutgoingRequest {
   const RequestClassSpec* request_class;
   std::string_view id, key, tenant;
-  double budget_ms;  // what is left of the client's timeout
+  double budget_ms;  // the rest of the client's timeout
   bool mark_retry = false;
 };
 
-// The bytes of the request, body included.
+// Returns the bytes of the request, body included.
 inline std::string serialize(const OutgoingRequest& request) {
   namespace names = protocol::names;
   const auto& request_class = *request.request_class;
--- a/src/testbed/process.cpp
+++ b/src/testbed/process.cpp
@@ -36,7 +36,7 @@
 
 namespace {
 
-// The environment of this process with some variables replaced or added.
+// Returns the environment of this process with some variables replaced or added.
 std::vector<std::string> environment_with(const std::vector<std::pair<std::string, std::string>>& variables) {
   std::vector<std::string> environment;
   for (char** entry = environ; *entry; ++entry) {
@@ -57,10 +57,10 @@
   return pointers;
 }
 
-// The child's side of start(), after the fork: only calls that are safe there.
+// The child's side of start(): makes only calls that are async-signal-safe after a fork.
 [[noreturn]] void run_child(pid_t parent, int log_fd, const cpu_set_t* cpus, const char* program, char** argv,
                             char** envp) {
-  // It ends with its parent, however that ends.
+  // Kills the child when the parent exits for any reason.
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (getppid() != parent) _exit(127);
   sigset_t none;
@@ -78,7 +78,7 @@
 }  // namespace
 
 void Process::start() {
-  // All that the child needs is made before the fork: between fork and exec nothing may allocate.
+  // Allocates everything before the fork: allocation is unsafe between fork and exec.
   std::vector<std::string> arguments{options_.program};
   arguments.insert(arguments.end(), options_.args.begin(), options_.args.end());
   auto environment = environment_with(options_.variables);
@@ -130,7 +130,7 @@
 }
 
 namespace {
-constexpr int ready_poll_ms = 50;
+constexpr int ready_poll_timeout_ms = 50;
 }
 
 bool is_ready(const transport::Address& at) {
@@ -138,7 +138,7 @@
   if (!fd || (connect(fd.get(), at.raw(), at.size()) != 0 && errno != EINPROGRESS)) return false;
   auto wait = [&](short events) {
     pollfd p{.fd = fd.get(), .events = events, .revents = 0};
-    return poll(&p, 1, ready_poll_ms) == 1 && (p.revents & events) != 0;
+    return poll(&p, 1, ready_poll_timeout_ms) == 1 && (p.revents & events) != 0;
   };
   constexpr std::string_view request = "GET /-/ready HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n";
   if (!wait(POLLOUT) ||
--- a/src/testbed/process.hpp
+++ b/src/testbed/process.hpp
@@ -1,5 +1,4 @@
-// A child process: started with variables of its own, signalled, watched; and the readiness of a balancer
-// that it runs.
+// A child process with its own environment, and the readiness check of a balancer that it runs.
 #pragma once
 
 #include <sys/resource.h>
@@ -18,30 +17,30 @@
   struct Options {
     std::string program;
     std::vector<std::string> args;
-    std::vector<std::pair<std::string, std::string>> variables;  // beside those of this process
-    std::string log;  // standard output and error go there, at its end
-    int cpu = -1;     // pinned to this core; -1: not
+    std::vector<std::pair<std::string, std::string>> variables;  // added to the environment of this process
+    std::string log;  // standard output and error are appended to this file
+    int cpu = -1;     // pins the process to this core; -1: no pinning
   };
   explicit Process(Options options) : options_(std::move(options)) {}
-  ~Process();  // kills it and waits
+  ~Process();  // kills the process and waits for its exit
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
   Process(Process&& other) noexcept;
   Process& operator=(Process&&) = delete;
 
-  // Throws std::system_error where it can't fork. A program that isn't there exits at once with 127.
+  // Throws std::system_error if fork fails. A missing program exits at once with status 127.
   void start();
-  // Does nothing while it does not run.
+  // Does nothing if the process is not running.
   void signal(int number) const;
-  // True once, when it has exited; status(), cpu_ms() and peak_kb() hold from then on.
+  // Returns true once after the exit; status(), cpu_ms() and peak_kb() are valid from then on.
   bool take_exit();
-  void wait();  // until it has exited
+  void wait();  // for the exit
   [[nodiscard]] bool running() const { return pid_ > 0; }
-  // The exit status of its last run, or the negative number of the signal that ended it.
+  // The exit status of the last run, or the negative number of the signal that ended the process.
   [[nodiscard]] int status() const { return status_; }
-  // Processor time of all its runs that have exited.
+  // Processor time of all runs that have exited.
   [[nodiscard]] double cpu_ms() const { return cpu_ms_; }
-  // The largest resident set of one of them, KiB.
+  // The maximum resident set size over these runs, KiB.
   [[nodiscard]] long peak_kb() const { return peak_kb_; }
   [[nodiscard]] const std::string& log() const { return options_.log; }
 
@@ -54,10 +53,10 @@
   long peak_kb_ = 0;
 };
 
-// Asks `GET /-/ready` until it answers 200, for `timeout_ms` at most, and gives up when the process exits.
+// Polls `GET /-/ready` until the response is 200, for at most `timeout_ms` or until the process exits.
 // Blocks; for use before a run begins.
 bool becomes_ready(const transport::Address& at, double timeout_ms, Process& process);
-// Asks once, 50 ms at most.
+// Sends one `GET /-/ready`; blocks for at most 50 ms at each step.
 bool is_ready(const transport::Address& at);
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/runner.cpp
+++ b/src/testbed/runner.cpp
@@ -21,11 +21,11 @@
 
 namespace {
 
-constexpr double lead_ms = 150;  // from the last balancer's readiness to the first request: watches come up
+constexpr double lead_ms = 150;  // from readiness to the first request, for discovery watches to connect
 constexpr double progress_interval_ms = 250;
 constexpr auto poll_interval = std::chrono::milliseconds(2);
 
-// A port that nobody uses now; each run listens on it at addresses of its own.
+// Returns a free port; each run listens on it at its own loopback addresses.
 int free_port() {
   struct Ignore final : transport::Ready {
     void ready(std::uint32_t) override {}
@@ -52,7 +52,7 @@
   return ms(usage.ru_utime) + ms(usage.ru_stime);
 }
 
-// One run: set up while this process has one thread, then the threads, then this thread watches the
+// One run. Starts the balancers while this process has one thread, then starts the threads and watches the
 // balancers.
 class Runner {
  public:
@@ -63,11 +63,10 @@
         options_(options),
         servers_context_(clock_),
         servers_(servers_context_, experiment, seed, addresses_),
-        balancers_(
-            experiment, build, seed, addresses_, options.folder,
-            [this](int tier, int balancer) { return servers_.endpoint_list(tier, balancer); },
-            options.pin ? 1 + experiment.workers : -1) {}
-  // Where run() throws, the threads still end.
+        balancers_(experiment, build, seed, addresses_,
+                   {.folder = options.folder, .first_cpu = options.pin ? 1 + experiment.workers : -1},
+                   [this](int tier, int balancer) { return servers_.endpoint_list(tier, balancer); }) {}
+  // Ends the threads if run() has thrown.
   ~Runner() { servers_stop_ = load_stop_ = true; }
   Runner(const Runner&) = delete;
   Runner& operator=(const Runner&) = delete;
@@ -99,7 +98,7 @@
     double cpu_ms = 0;
   };
 
-  // Where clients connect: the balancers of the first tier, or the servers themselves.
+  // The targets of clients: the balancers of the first tier, or the servers themselves.
   [[nodiscard]] std::vector<HttpClient::Target> client_targets() const {
     std::vector<HttpClient::Target> targets;
     const auto& tier = experiment_.tiers.front();
@@ -116,7 +115,7 @@
     for (int w = 0; w < experiment_.workers; ++w) {
       auto& worker = *workers_.emplace_back(std::make_unique<Worker>(clock_));
       worker.load = std::make_unique<LoadGenerator>(worker.context, experiment_, seed_, client_targets(),
-                                                    counts_, w, experiment_.workers);
+                                                    counts_, LoadWorker{w, experiment_.workers});
     }
   }
 
@@ -143,7 +142,7 @@
     worker.finished = true;
   }
 
-  // Tells whoever connects to that balancer: clients, or the servers of the tier before.
+  // Publishes to the threads that connect to that balancer: clients, or the servers of the previous tier.
   void publish(int tier, int balancer, bool up) {
     if (tier > 0) return servers_.balancer_events().publish({tier, balancer, up});
     for (auto& worker : workers_) worker->load->balancer_events().publish({0, balancer, up});
@@ -165,7 +164,7 @@
                           [](const auto& worker) { return worker->finished.load(); }));
   }
 
-  // After all threads and processes have ended.
+  // Collects the results; all threads and processes have ended.
   void collect() {
     result_.balancers = balancers_.usage();
     result_.history = std::move(servers_.history());
@@ -197,7 +196,7 @@
   LoadCounts counts_;
   std::vector<std::unique_ptr<Worker>> workers_;
   std::atomic<bool> servers_stop_{false}, load_stop_{false};
-  std::vector<std::jthread> threads_;  // last: they end before what they use
+  std::vector<std::jthread> threads_;  // last member: joined before the members they use are destroyed
 };
 
 }  // namespace
--- a/src/testbed/runner.hpp
+++ b/src/testbed/runner.hpp
@@ -1,5 +1,5 @@
-// Runs one experiment once: servers and load generator on threads of this process, balancers as processes of
-// their own.
+// Runs one experiment once: servers and load generator on threads of this process, each balancer as a child
+// process.
 #pragma once
 
 #include <cstdint>
@@ -15,17 +15,17 @@
 
 namespace meadowgauge::testbed {
 
-// What a run produced, before any metric is made of it.
+// The records of a run, from which the metrics are computed.
 struct RunResult {
   std::string experiment, build;
   std::uint64_t seed = 0;
-  double begin_ms = 0, duration_ms = 0;  // on the history's clock; as the experiment states it
-  bool stopped = false;                  // before its end
+  double begin_ms = 0, duration_ms = 0;  // on the history's clock; as configured
+  bool stopped = false;                  // ended early
   History history;
   Contract contract;
   Histogram send_delay;  // of the load generator, ms
   double load_cpu_ms = 0, servers_cpu_ms = 0;
-  std::uint64_t connections = 0;  // that clients opened
+  std::uint64_t connections = 0;  // opened by clients
   std::vector<BalancerUsage> balancers;
   std::vector<InjectedFault> injected_faults;
   std::uint64_t datagrams = 0, datagram_bytes = 0;  // between balancers
@@ -37,14 +37,14 @@
 };
 
 struct RunOptions {
-  std::string folder;  // for logs and the balancers' configurations; made if it is not there
-  bool pin = false;    // servers, load workers and balancers each on a core of their own
-  std::function<void(const RunProgress&)> on_progress;  // a few times a second; may be empty
-  std::function<bool()> stop_requested;                 // asked often; may be empty
+  std::string folder;  // for logs and the balancers' configurations; created if missing
+  bool pin = false;    // pins servers, load workers and balancers to separate cores
+  std::function<void(const RunProgress&)> on_progress;  // called a few times a second; may be empty
+  std::function<bool()> stop_requested;                 // polled; may be empty
 };
 
-// Blocks until the run is over. Throws std::runtime_error or std::system_error where something can't be
-// started; all processes have ended when it returns or throws.
+// Blocks until the end of the run. Throws std::runtime_error or std::system_error if a component cannot
+// start; all processes have exited when this returns or throws.
 RunResult run_experiment(const Experiment& experiment, const BuildSpec& build, std::uint64_t seed,
                          const RunOptions& options);
 
--- a/src/testbed/schedule.cpp
+++ b/src/testbed/schedule.cpp
@@ -8,10 +8,10 @@
 
 using Kind = Action::Kind;
 
-// Between a server's own rejecting and its stop, in a rolling restart.
-constexpr double drained_ms = 300;
+// In a rolling restart, from the server's first rejection to its stop.
+constexpr double rejecting_before_stop_ms = 300;
 
-// Turns the faults of one experiment into actions, one fault at a time.
+// Converts the faults of one experiment into actions, one fault at a time.
 class Scheduler {
  public:
   Scheduler(const Experiment& experiment, std::uint64_t seed) : experiment_(experiment), seed_(seed) {}
@@ -35,7 +35,7 @@
         {.kind = kind, .at_ms = at_ms, .tier = fault_->tier, .target_index = target, .value = value});
   }
 
-  // The same at each target: on at the fault's begin, off at its end.
+  // Switches the fault on at its begin and off at its end, at each target.
   void add_on_off(Kind kind, double value) {
     for (int server : targets_) {
       add(fault_->at_ms, kind, server, value);
@@ -105,7 +105,7 @@
     }
   }
 
-  // Batches of `at_once` servers, their begins spread evenly over the fault's time.
+  // Restarts batches of `at_once` servers, whose begins are spread evenly over the fault's duration.
   void schedule_rolling_restart() {
     const auto& fault = *fault_;
     const int servers = static_cast<int>(targets_.size());
@@ -114,7 +114,7 @@
       int server = targets_[static_cast<std::size_t>(k)];
       const int batch = k / fault.at_once;
       double from_ms = fault.at_ms + fault.for_ms * batch / batches;
-      double stop_ms = from_ms + fault.drain_ms + drained_ms;
+      double stop_ms = from_ms + fault.drain_ms + rejecting_before_stop_ms;
       add(from_ms, Kind::announce_draining, server);
       add(from_ms + fault.drain_ms, Kind::drain, server, 1);
       add(stop_ms, Kind::stop, server);
--- a/src/testbed/schedule.hpp
+++ b/src/testbed/schedule.hpp
@@ -1,5 +1,5 @@
-// When what happens during a run: the faults of an experiment as actions in order of time. Values only:
-// whoever carries them out asks what is due.
+// The schedule of a run: an experiment's faults as timed actions. Values only; the caller carries out the
+// actions that are due.
 #pragma once
 
 #include <cstdint>
@@ -30,16 +30,16 @@
     terminate,
     pause,
     resume,
-    reload  // `value`: the index of the fault that says how
+    reload  // `value`: the index of the fault with the new members
   };
   Kind kind = Kind::stop;
   double at_ms = 0;
-  int tier = 0, target_index = 0;  // of the server or balancer within its tier
-  double value = 0;                // how much; 0 ends a fault. Of stall, kill and terminate: until when, ms
+  int tier = 0, target_index = 0;  // index of the server or balancer in its tier
+  double value = 0;                // amount, 0 ends a fault; for stall, kill, terminate: end time, ms
   [[nodiscard]] bool targets_balancer() const { return kind >= Kind::kill; }
 };
 
-// All actions of a run in order of time; the same for the same seed.
+// Returns all actions of a run in order of time; deterministic for a seed.
 std::vector<Action> schedule_actions(const Experiment& experiment, std::uint64_t seed);
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/server_fleet.cpp
+++ b/src/testbed/server_fleet.cpp
@@ -12,7 +12,7 @@
   return "s-" + std::to_string(tier) + "-" + std::to_string(server);
 }
 
-// The number of a server in streams of random numbers.
+// Returns the server's number within a named random stream.
 std::uint64_t stream_number(int tier, int server) {
   return static_cast<std::uint64_t>(tier) * 10000 + static_cast<std::uint64_t>(server);
 }
@@ -48,7 +48,7 @@
   if (tier + 1 < static_cast<int>(experiment_.tiers.size())) create_client(tier);
 }
 
-// Drawn by share for each server, so that each zone has servers of all kinds. Null: no kinds are stated.
+// Draws a kind by its share for each server, so that each zone has servers of all kinds. Null without kinds.
 const ServerKindSpec* ServerFleet::draw_kind(int tier, int server) const {
   const auto& kinds = spec(tier).kinds;
   double sum = 0;
@@ -148,7 +148,7 @@
   for (int tier = 0; tier < static_cast<int>(experiment_.tiers.size()); ++tier)
     if (spec(tier).relays) create_relays(tier, at_ms);
   actions_ = schedule_actions(experiment_, seed_);
-  // Whoever runs the balancer processes sees to theirs.
+  // BalancerProcesses carries out the actions on balancers.
   std::erase_if(actions_, [](const Action& action) { return action.targets_balancer(); });
   next_action_ = 0;
   on_timer(0);
@@ -197,7 +197,7 @@
   using Kind = Action::Kind;
   auto& at = server(action.tier, action.target_index);
   auto* model = at.model();
-  if (!model) return;  // it has died meanwhile
+  if (!model) return;  // the server has stopped meanwhile
   if (action.kind == Kind::drain) model->drain(action.value > 0);
   if (action.kind == Kind::slow) model->slow(action.value > 0 ? action.value : 1);
   if (action.kind == Kind::fail) model->fail(action.value);
--- a/src/testbed/server_fleet.hpp
+++ b/src/testbed/server_fleet.hpp
@@ -1,5 +1,5 @@
-// Everything behind and beside the balancers: all servers, discovery, the relays between sockets, and the
-// run's faults among them. Runs on a thread of its own; its records are read when that has ended.
+// The stand-ins around the balancers: all servers, discovery and relays, with the run's faults on them. Runs
+// on its own thread; the records are read after the thread has ended.
 #pragma once
 
 #include <cstdint>
@@ -25,24 +25,25 @@
 
 class ServerFleet final : public Server::Environment, public HttpClient::Handler, TestbedContext::Component {
  public:
-  // Listens everywhere but at relays; throws std::system_error where it can't. The experiment outlives it.
+  // Opens all listeners except the relays'; throws std::system_error if that fails. The experiment outlives
+  // the fleet.
   ServerFleet(TestbedContext& context, const Experiment& experiment, std::uint64_t seed,
               const AddressPlan& addresses);
   ~ServerFleet() override;
   ServerFleet(const ServerFleet&) = delete;
   ServerFleet& operator=(const ServerFleet&) = delete;
 
-  // The run begins: starts the relays, and counts faults from here.
+  // Begins the run: starts the relays and the schedule of faults.
   void begin(double at_ms);
   void on_timer(std::uint64_t number) override;
 
-  // Events of balancers of later tiers; may be published from another thread.
+  // Availability events of later tiers' balancers; another thread may publish them.
   [[nodiscard]] BalancerEventQueue& balancer_events() { return balancer_events_; }
-  // The endpoint list as a balancer would get it now. Not while the thread runs.
+  // Returns the current endpoint list for a balancer. Must not be called while the thread runs.
   [[nodiscard]] std::string endpoint_list(int tier, int balancer) const;
   [[nodiscard]] History& history() { return history_; }
   [[nodiscard]] std::vector<InjectedFault> injected_faults() const;
-  // How many datagrams balancers sent each other, and their bytes.
+  // The number and the bytes of datagrams between balancers.
   [[nodiscard]] std::pair<std::uint64_t, std::uint64_t> datagrams() const;
 
  private:
@@ -71,7 +72,7 @@
   int pick_target(int group) override;
 
   void create_tier(int tier);
-  // Creates a server and gives its entry in discovery's list.
+  // Creates a server; returns its entry in discovery's list.
   DiscoveryEndpoint create_server(int tier, int server);
   [[nodiscard]] const ServerKindSpec* draw_kind(int tier, int server) const;
   void create_discovery(int tier, const std::vector<DiscoveryEndpoint>& endpoints);
@@ -97,9 +98,9 @@
   std::size_t next_action_ = 0;
   double begin_ms_ = 0, timer_ = transport::DueTimes::none;
   Rng rng_;
-  std::unordered_map<std::uint64_t, Call> calls_;  // in flight, by the index of their attempt
+  std::unordered_map<std::uint64_t, Call> calls_;  // in flight, by attempt index
   std::unique_ptr<DatagramRelay> datagram_relay_;  // null without a fleet
-  std::vector<FrontBalancer> front_balancers_;     // before each tier
+  std::vector<FrontBalancer> front_balancers_;     // in front of each tier
   BalancerEventQueue balancer_events_;
 };
 
--- a/src/testbed/text_format.hpp
+++ b/src/testbed/text_format.hpp
@@ -8,13 +8,13 @@
 
 namespace meadowgauge::testbed {
 
-// As printf, up to 1,023 bytes; what is longer is cut.
+// Formats like printf; truncates to 1,023 bytes.
 [[gnu::format(printf, 1, 2)]] std::string formatted(const char* format, ...);
 
-// For `%llu`.
+// Converts a count for `%llu`.
 inline unsigned long long printable(std::uint64_t number) { return number; }
 
-// `count` as a percentage of a run's requests; 0 where there were none.
+// Returns `count` as a percentage of a run's requests; 0 without requests.
 double percent_of_requests(std::uint64_t count, const RunMetrics& metrics);
 
 }  // namespace meadowgauge::testbed
