--- a/tests/testbed/checker_test.cpp
+++ b/tests/testbed/checker_test.cpp
@@ -1,4 +1,4 @@
-// The checker on histories made by hand: each rule is violated and kept.
+// The checker on handwritten histories: each rule is violated and kept.
 #include "testbed/checker.hpp"
 
 #include <gtest/gtest.h>
@@ -32,18 +32,18 @@
                                 .status = 200});
     return history.attempts.back();
   }
-  ServerRecord& add_record(const std::string& id, int server, double at,
+  ServerRecord& add_record(const std::string& id, int server, double at_ms,
                            ServerRecord::Result result = ServerRecord::Result::executed) {
     history.server_records.push_back(
         {.id = id,
          .key = {},
          .server = server,
          .balancer = 0,
-         .first_byte_ms = at,
-         .last_byte_ms = at,
+         .first_byte_ms = at_ms,
+         .last_byte_ms = at_ms,
          .result = result,
-         .started_ms = at,
-         .answered_ms = result == ServerRecord::Result::executed ? at + 5 : never});
+         .started_ms = at_ms,
+         .answered_ms = result == ServerRecord::Result::executed ? at_ms + 5 : never});
     return history.server_records.back();
   }
   // The one rule that is violated, or -1; -2: several.
@@ -69,7 +69,7 @@
   EXPECT_EQ(r.violated(), -1);
 }
 
-TEST(Checker, EachWayToLoseARequestIsSeen) {
+TEST(Checker, EachLostRequestIsReported) {
   for (auto [outcome, expected] : {std::pair{Outcome::timed_out, lost},
                                    {Outcome::connection_lost, lost},
                                    {Outcome::corrupted, lost},
@@ -83,7 +83,7 @@
   }
   Records accepted, late, extra, unproduced, unwritten;
   accepted.add_attempt("a", 0).outcome = Outcome::keep_alive_race;
-  accepted.add_record("a", 0, 105);  // so the balancer had accepted it
+  accepted.add_record("a", 0, 105);  // shows that the balancer had accepted the request
   EXPECT_EQ(accepted.violated(), lost);
   late.add_attempt("a").ended_ms = 3200;
   late.add_record("a", 0, 105);
@@ -99,9 +99,9 @@
   EXPECT_EQ(unwritten.violated(), -1);
 }
 
-// A client's turn that begins at 120 ms and lasts: what it reads at 150 ms may have been answered at 140 ms,
+// A client's turn begins at 120 ms. A response that the client reads at 150 ms may have been sent at 140 ms,
 // but not at 160 ms.
-TEST(Checker, AnAnswerMustBeGivenBeforeItIsRead) {
+TEST(Checker, ResponseMustBeSentBeforeItIsReceived) {
   for (auto [answered_ms, expected] : {std::pair{140.0, -1}, {160.0, lost}}) {
     Records r;
     r.add_attempt("a").received_by_ms = 150;
@@ -118,16 +118,16 @@
       {.tier = 0, .balancer = 0, .at_ms = 115, .cause = BalancerExit::Cause::killed, .exited_ms = 116});
   EXPECT_EQ(r.violated(), -1);
   EXPECT_EQ(check_history(r.history, r.contract).excused, 1U);
-  r.history.balancer_exits[0].balancer = 1;  // another's exit excuses nothing
+  r.history.balancer_exits[0].balancer = 1;  // the exit of another balancer excuses nothing
   EXPECT_EQ(r.violated(), lost);
   r.history.balancer_exits[0] = {
       .tier = 0, .balancer = 0, .at_ms = 115, .cause = BalancerExit::Cause::planned, .exited_ms = 116};
-  EXPECT_EQ(r.violated(), lost);  // who is asked to exit answers all first
+  EXPECT_EQ(r.violated(), lost);  // a graceful shutdown answers all requests first
   r.history.balancer_exits[0].cause = BalancerExit::Cause::crashed;
   EXPECT_EQ(r.violated(), -2);
 }
 
-TEST(Checker, ASecondAttemptAfterOneThatMayHaveExecutedIsSeen) {
+TEST(Checker, RetryAfterPossibleExecutionIsReported) {
   using Result = ServerRecord::Result;
   for (auto [first, expected] : {std::pair{Result::executed, duplicate_effect},
                                  {Result::failed, duplicate_effect},
@@ -142,23 +142,23 @@
   }
   Records cut;
   cut.add_attempt("a", 1);
-  cut.add_record("a", 0, 105, Result::incomplete).last_byte_ms = never;  // its last byte never came
+  cut.add_record("a", 0, 105, Result::incomplete).last_byte_ms = never;  // the last byte was never received
   cut.add_record("a", 1, 110);
   EXPECT_EQ(cut.violated(), -1);
 }
 
-TEST(Checker, DeduplicatedRequestsRepeatOnlyInTheirScopeAndWindow) {
-  for (auto [server, at, expected] :
+TEST(Checker, DeduplicatedRetriesStayInScopeAndWindow) {
+  for (auto [server, at_ms, expected] :
        {std::tuple{1, 800.0, -1}, {2, 800.0, duplicate_effect}, {1, 1200.0, duplicate_effect}}) {
     Records r;
     r.add_attempt("a", 2);
     r.add_record("a", 0, 105);
-    r.add_record("a", server, at, ServerRecord::Result::duplicate).answered_ms = at;
-    EXPECT_EQ(r.violated(), expected) << server << " at " << at;
+    r.add_record("a", server, at_ms, ServerRecord::Result::duplicate).answered_ms = at_ms;
+    EXPECT_EQ(r.violated(), expected) << server << " at " << at_ms;
   }
 }
 
-TEST(Checker, RejectionOfARequestThatMayHaveExecutedIsSeen) {
+TEST(Checker, RejectionAfterPossibleExecutionIsReported) {
   Records r;
   r.add_attempt("a", 1).outcome = Outcome::rejected;
   r.add_record("a", 0, 105);
@@ -170,21 +170,22 @@
   EXPECT_EQ(r.violated(), -1);
 }
 
-TEST(Checker, RequestsToADrainingServerAfterTheGraceAreSeen) {
-  for (auto [notified_ms, drains_then, at, expected] : {std::tuple{0.0, true, 440.0, -1},
-                                                        {0.0, true, 460.0, drains},
-                                                        {0.0, false, 460.0, -1},
-                                                        {500.0, true, 460.0, -1}}) {
+TEST(Checker, RequestsAfterTheDrainGraceAreReported) {
+  for (auto [notified_ms, drains_then, at_ms, expected] : {std::tuple{0.0, true, 440.0, -1},
+                                                           {0.0, true, 460.0, drains},
+                                                           {0.0, false, 460.0, -1},
+                                                           {500.0, true, 460.0, -1}}) {
     Records r;
     auto& t = r.add_attempt("a");
-    t.ended_ms = at + 20;
-    r.add_record("a", 0, at);
+    t.ended_ms = at_ms + 20;
+    r.add_record("a", 0, at_ms);
     r.history.notifications.push_back({0, 0, 0, drains_then, notified_ms});
-    EXPECT_EQ(r.violated(), expected) << notified_ms << " " << at;
-    r.history.notifications[0].balancer = 1;  // another was notified
+    EXPECT_EQ(r.violated(), expected) << notified_ms << " " << at_ms;
+    r.history.notifications[0].balancer = 1;  // another balancer was notified
     EXPECT_EQ(r.violated(), -1);
   }
-  Records again;  // notified once more later: the first counts; active again since: nothing counts
+  // The first of repeated notifications counts; a later active one ends the drain.
+  Records again;
   again.add_attempt("a").ended_ms = 900;
   again.add_record("a", 0, 700);
   again.history.notifications = {{0, 0, 0, true, 0}, {0, 0, 0, true, 600}};
@@ -194,7 +195,7 @@
   again.history.notifications.pop_back();
   again.history.balancer_exits.push_back(
       {.tier = 0, .balancer = 0, .at_ms = 610, .cause = BalancerExit::Cause::killed, .exited_ms = 620});
-  EXPECT_EQ(again.violated(), -1);  // the process that was notified is not the one that sent
+  EXPECT_EQ(again.violated(), -1);  // the notified process has exited before the request
 }
 
 TEST(Checker, ACrashedServerIsNamed) {
@@ -209,14 +210,14 @@
   History history;
   Contract contract{.request_classes = {RequestClassSpec{}}, .servers = {}, .tenants = {"acme", "other"}};
   FleetLimit limit{
-      .tenant = "acme", .request_class = {}, .rate = 10, .burst = 3};  // and one more: 100 ms on the way
-  auto arrive = [&](double at, int tenant, int times = 1) {
+      .tenant = "acme", .request_class = {}, .rate = 10, .burst = 3};  // 100 ms in transit allow one more
+  auto arrive = [&](double at_ms, int tenant, int attempts = 1) {
     auto id = "v" + std::to_string(history.attempts.size());
     history.attempts.push_back({.id = id, .tenant = tenant});
-    for (int k = 0; k < times; ++k)
-      history.server_records.push_back({.id = id, .key = {}, .first_byte_ms = at + k});
+    for (int k = 0; k < attempts; ++k)
+      history.server_records.push_back({.id = id, .key = {}, .first_byte_ms = at_ms + k});
   };
-  for (int k = 0; k < 4; ++k) arrive(1000, 0, 3);  // another attempt is no further request
+  for (int k = 0; k < 4; ++k) arrive(1000, 0, 3);  // repeated attempts count once
   for (int k = 0; k < 50; ++k) arrive(1000, 1);
   EXPECT_LE(admission_history(history, contract, limit).max_excess, 0);
   arrive(1100, 0);
--- a/tests/testbed/day_test.cpp
+++ b/tests/testbed/day_test.cpp
@@ -1,5 +1,5 @@
-// Whole runs on sockets: the load generator's schedule, the real program under faults, programs that each
-// break one rule, and the testbed's own command line and reports.
+// Complete runs on sockets: the load generator's schedule, the real program under faults, programs that each
+// violate one rule, and the testbed's command line and reports.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -55,10 +55,10 @@
   return run_experiment(e, {.name = "tested", .program = program, .args = {}, .settings = {}}, seed, options);
 }
 
-// A fault as its file states it; `rest`: further lines.
-std::string fault(const std::string& kind, double at, double duration, const std::string& rest = {}) {
+// Returns a fault's table in an experiment file; `rest`: further lines.
+std::string fault(const std::string& kind, double at_s, double duration_s, const std::string& rest = {}) {
   std::ostringstream text;
-  text << "[[faults]]\nwhat = '" << kind << "'\nat = " << at << "\nfor = " << duration << "\n" << rest;
+  text << "[[faults]]\nwhat = '" << kind << "'\nat = " << at_s << "\nfor = " << duration_s << "\n" << rest;
   return text.str();
 }
 std::string at_target(const std::string& which) { return "which = ['" + which + "']\n"; }
@@ -67,31 +67,31 @@
   auto e = experiment(run_of_4_s + one_tier + fault("stall", 1, 1.5, at_target("0-4")));
   e.builds = {};
   auto result = run(e, "", 3);
-  // Sent while all stalled, at the rate that was meant, and timed from when each was meant to go.
+  // While all servers stall, requests are sent at the scheduled rate and timed from their scheduled time.
   int during = 0;
-  double longest = 0;
+  double max_latency_ms = 0;
   for (const auto& attempt : result.history.attempts) {
-    double at = attempt.intended_ms - result.begin_ms;
-    if (attempt.number != 1 || at < 1000 || at >= 2500) continue;
+    double at_ms = attempt.intended_ms - result.begin_ms;
+    if (attempt.number != 1 || at_ms < 1000 || at_ms >= 2500) continue;
     ++during;
     if (attempt.outcome == Outcome::succeeded)
-      longest = std::max(longest, attempt.ended_ms - attempt.intended_ms);
+      max_latency_ms = std::max(max_latency_ms, attempt.ended_ms - attempt.intended_ms);
   }
   EXPECT_NEAR(during, 225, 60);
-  EXPECT_GT(longest, 1000);
+  EXPECT_GT(max_latency_ms, 1000);
   Traffic traffic(e.traffic, e.request_classes, e.tenants, 3);
-  std::vector<double> meant;
-  for (auto a = traffic.next(); a.at_ms < e.ms(); a = traffic.next()) meant.push_back(a.at_ms);
+  std::vector<double> scheduled_ms;
+  for (auto a = traffic.next(); a.at_ms < e.ms(); a = traffic.next()) scheduled_ms.push_back(a.at_ms);
   std::size_t i = 0;
   for (const auto& attempt : result.history.attempts)
     if (attempt.number == 1) {
-      ASSERT_LT(i, meant.size());
-      EXPECT_NEAR(attempt.intended_ms - result.begin_ms, meant[i++], 1e-3);
+      ASSERT_LT(i, scheduled_ms.size());
+      EXPECT_NEAR(attempt.intended_ms - result.begin_ms, scheduled_ms[i++], 1e-3);
     }
-  EXPECT_EQ(i, meant.size());
+  EXPECT_EQ(i, scheduled_ms.size());
 }
 
-TEST(Run, EveryFaultInTurnKeepsTheRules) {
+TEST(Run, RulesHoldUnderEachFault) {
   auto e = experiment("seconds = 14\n" + run_of_4_s.substr(run_of_4_s.find("[[path")) +
                       "[[tiers]]\nservers = 6\nbalancers = 3\ncores = 4\nwarm_ms = 2000\nrelays = "
                       "true\nzones = ['a', 'b']\n" +
@@ -136,7 +136,7 @@
   EXPECT_GT(f.weighted_success, 0.8);
 }
 
-// Balancers that each break one rule: caught, named, and not taken for another.
+// Balancers that each violate one rule: the checker reports this rule and no other.
 struct Broken {
   const char* program;
   Rule rule;
@@ -172,7 +172,7 @@
                                fault("kill", 0.5, 0.5, at_target("0"))}),
     broken_name);
 
-TEST(Run, ABalancerThatCrashesIsCaughtAndThatExcusesNothing) {
+TEST(Run, BalancerCrashIsReportedAndExcusesNothing) {
   auto e = experiment(run_of_4_s + one_tier);
   auto result = run(e, BROKEN_CRASH);
   auto f = compute_metrics(e, result);
@@ -182,7 +182,7 @@
     EXPECT_TRUE(f.verdict.kept(r)) << rule_name(r);
 }
 
-TEST(Run, ABalancerThatNeverBecomesReadyIsAnErrorAndNothingRuns) {
+TEST(Run, BalancerThatIsNeverReadyIsAnError) {
   auto e = experiment(run_of_4_s + one_tier);
   EXPECT_THROW(run(e, "/bin/false"), std::runtime_error);
 }
@@ -217,7 +217,7 @@
     EXPECT_EQ(help.find(deprecated), std::string::npos) << help;
 }
 
-TEST(TestbedProgram, AnUnreadableFileIsOneLineAndNothingIsStarted) {
+TEST(TestbedProgram, InvalidArgumentsHaveTheirExitStatus) {
   const std::string program = TESTBED_PROGRAM;
   EXPECT_EQ(exit_status(program + " run /nowhere/at/all.toml"), 1);
   EXPECT_EQ(exit_status(program + " fault --listen here --to there"), 1);
@@ -240,7 +240,7 @@
   }
   for (const char* row : {"b-0-0", "b-0-1", "s-0-4"}) EXPECT_NE(html.find(row), std::string::npos) << row;
   EXPECT_NE(html.find("<polyline"), std::string::npos);
-  EXPECT_EQ(html.find("http"), std::string::npos);  // it needs nothing else
+  EXPECT_EQ(html.find("http"), std::string::npos);  // the page loads nothing else
   RunMetrics a = r.metrics, b = r.metrics, c = r.metrics;
   b.weighted_success = a.weighted_success - 0.1;
   c.weighted_success = a.weighted_success - 0.3;
--- a/tests/testbed/experiment_test.cpp
+++ b/tests/testbed/experiment_test.cpp
@@ -1,4 +1,4 @@
-// Experiment files, the schedule of actions that follows from them, and the lifecycle of a balancer process.
+// Experiment files, their schedule of actions, and the lifecycle of a balancer process.
 #include "testbed/experiment.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 namespace meadowgauge::testbed {
 namespace {
 
-TEST(Schedule, ARollingRestartAnnouncesDrainsStopsAndStartsEachInTurn) {
+TEST(Schedule, RollingRestartDrainsStopsAndRestartsInBatches) {
   Experiment e;
   e.tiers.resize(1);
   e.tiers[0].servers = 4;
@@ -57,7 +57,7 @@
   }
 }
 
-TEST(BalancerLifecycle, ExitsAreDistinguishedFromCrashesAndOverdueOnesAreKilled) {
+TEST(BalancerLifecycle, CrashesAreNotExitsAndOverdueExitsAreKilled) {
   using Signal = BalancerLifecycle::Signal;
   using Cause = BalancerExit::Cause;
   const Action kill{.kind = Action::Kind::kill, .at_ms = 100, .value = 300};
@@ -65,11 +65,11 @@
   BalancerLifecycle killed;
   EXPECT_EQ(killed.apply(kill, 1000, 1100), Signal::kill);
   EXPECT_EQ(killed.exited(0, 0, -9, 1101).cause, Cause::killed);
-  EXPECT_EQ(killed.apply(terminate, 1000, 1150), Signal::none);  // it does not run
+  EXPECT_EQ(killed.apply(terminate, 1000, 1150), Signal::none);  // the process is not running
   EXPECT_FALSE(killed.take_restart(1299));
   EXPECT_TRUE(killed.take_restart(1300));
   EXPECT_FALSE(killed.take_restart(1400));
-  EXPECT_EQ(killed.exited(0, 0, 0, 1500).cause, Cause::crashed);  // nobody had asked it to
+  EXPECT_EQ(killed.exited(0, 0, 0, 1500).cause, Cause::crashed);  // an unrequested exit
   EXPECT_FALSE(killed.take_restart(9999));
 
   BalancerLifecycle planned;
@@ -81,7 +81,7 @@
   EXPECT_TRUE(well.take_restart(4000));
   EXPECT_EQ(planned.overdue_signal(9101), Signal::kill);
   EXPECT_EQ(planned.overdue_signal(9102), Signal::none);
-  EXPECT_EQ(planned.exited(0, 0, -9, 9103).cause, Cause::crashed);  // it should have exited by itself
+  EXPECT_EQ(planned.exited(0, 0, -9, 9103).cause, Cause::crashed);  // the graceful shutdown timed out
 }
 
 const std::string minimal =
@@ -98,13 +98,13 @@
   EXPECT_EQ(first_problem(minimal + "[[faults]]\nwhat = 'burn'\nat = 1\n").substr(0, 46),
             "x.toml:7:1: faults[0].what is not kill, roll, ");
   EXPECT_EQ(first_problem(minimal + "[[faults]]\nwhat = 'kill'\nat = 1\nwhich = ['7']\n"),
-            "x.toml:6:3: faults name number 7 of 3");
+            "x.toml:6:3: faults name target 7, but the tier has 3");
   EXPECT_EQ(first_problem(minimal + "[[faults]]\nwhat = 'kill'\nat = 99\n"),
-            "x.toml:8:1: faults[0].at is past the day's end");
+            "x.toml:8:1: faults[0].at is after the end of the run");
   EXPECT_EQ(first_problem("strikes = ['cut at=end']\n" + minimal),
-            "x.toml:1:1: strikes want a tier with relays = true");
-  EXPECT_EQ(first_problem("strikes = ['cut at=moon']\n" + minimal).substr(0, 38),
-            "x.toml:1:1: strikes holds 'cut at=moon");
+            "x.toml:1:1: strikes need a tier with relays = true");
+  EXPECT_EQ(first_problem("strikes = ['cut at=moon']\n" + minimal).substr(0, 55),
+            "x.toml:1:1: strikes holds an invalid fault 'cut at=moon");
   EXPECT_EQ(first_problem(minimal + "calls = 1\ncalls_to = 'deep'\n").substr(0, 12), "x.toml:3:3: ");
   EXPECT_EQ(first_problem("[[tiers]]\n"), "x.toml:1:1: path_prefixes is missing");
 }
--- a/tests/testbed/fault_injection_test.cpp
+++ b/tests/testbed/fault_injection_test.cpp
@@ -1,5 +1,4 @@
-// Faults between sockets and between balancers, without I/O: where they are injected, and how they are
-// written.
+// Faults between sockets and between balancers, without I/O: their positions and their text form.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -20,7 +19,7 @@
     "POST /pay/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: v1\r\nContent-Length: 5\r\n\r\nhello";
 const std::string response = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 
-// What passes of `bytes`, fed in pieces of `piece`, and which faults came after how many bytes.
+// The bytes that pass, and each fault with its position in them, if `bytes` are fed in pieces of `piece`.
 struct Passed {
   std::string bytes;
   std::vector<std::pair<std::size_t, FaultInjection::Kind>> faults;
@@ -71,7 +70,7 @@
   EXPECT_EQ(back.bytes, response.substr(0, response.find("done")));
 }
 
-TEST(FaultInjector, CorruptionIsConfinedToItsHeaderAndIsTheSameForASeed) {
+TEST(FaultInjector, CorruptionStaysInItsHeaderAndRepeatsBySeed) {
   auto corrupted = [](std::uint64_t seed, std::size_t piece) {
     InjectionPlan plan({parsed("garble at=header:X-Call-Id bytes=2")}, seed);
     FaultInjector s(plan, 4);
@@ -94,7 +93,8 @@
     FaultInjector s(plan, static_cast<std::uint64_t>(c));
     if (!s.connected(0).empty()) {
       cut.push_back(c);
-      EXPECT_TRUE(s.feed(Direction::to_server, request, 150).empty());  // nothing passes any more
+      EXPECT_TRUE(
+          s.feed(Direction::to_server, request, 150).empty());  // a closed connection forwards nothing
       continue;
     }
     EXPECT_TRUE(pass(s, Direction::to_server, "G", 1, 50).faults.empty());
@@ -106,7 +106,7 @@
   EXPECT_LT(reset.size(), 30U);
 }
 
-TEST(FaultInjector, BytesThatAreNoMessagesPassAndOnlyBytePositionsHold) {
+TEST(FaultInjector, UnparsableBytesMatchBytePositionsOnly) {
   InjectionPlan plan({parsed("cut at=end"), parsed("cut at=byte:30")}, 9);
   FaultInjector s(plan, 0);
   auto p = pass(s, Direction::to_server, std::string(50, '\n') + request, 7);
@@ -135,7 +135,7 @@
   }));
 }
 
-TEST(InjectionPlan, IsBoundedAndEntriesAddedAfterAClearReachOpenConnections) {
+TEST(InjectionPlan, IsBoundedAndReplacedFaultsReachOpenConnections) {
   InjectionPlan plan({parsed("garble at=byte:0 bytes=1")}, 9);
   FaultInjector s(plan, 0);
   pass(s, Direction::to_server, "GET", 1);
@@ -146,7 +146,7 @@
   EXPECT_FALSE(plan.add(parsed("cut at=end")));
 }
 
-TEST(FaultInjection, TextIsParsedStrictlyAndWrittenAsItIsParsed) {
+TEST(FaultInjection, TextIsParsedStrictlyAndRoundTrips) {
   for (std::string bad : {"", "smash", "cut at=nowhere", "cut at=byte", "cut at=byte:x", "cut at=byte:9-3",
                           "cut at=header", "cut at=end:1", "throttle at=end", "cut every=0", "cut share=2",
                           "cut color=red", "cut most", "delay ms=-1"}) {
--- a/tests/testbed/fixtures.hpp
+++ b/tests/testbed/fixtures.hpp
@@ -1,5 +1,4 @@
-// What the testbed's tests share: request classes, experiments written as text, runs in a folder of their
-// own.
+// Shared by the testbed's tests: request classes, experiments and faults from text, temporary run folders.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -28,7 +27,7 @@
   return {view, pay, put};
 }
 
-// A fault that can be read; the test fails where it can't.
+// Parses a fault; the test fails if the text is invalid.
 inline FaultInjection parsed(const std::string& text) {
   auto result = FaultInjection::parse(text);
   if (auto* injection = std::get_if<FaultInjection>(&result)) return *injection;
@@ -36,7 +35,7 @@
   return {};
 }
 
-// An experiment without problems; the test fails where there are some.
+// Parses an experiment; the test fails if the text has problems.
 inline Experiment experiment(const std::string& text) {
   std::vector<settings::Problem> problems;
   auto e = Experiment::read(settings::read_text(text, "test"), "test", problems);
@@ -44,7 +43,7 @@
   return e;
 }
 
-// A folder for one run, removed with everything in it.
+// A temporary folder for one run, removed with its contents.
 class RunFolder {
  public:
   RunFolder() {
--- a/tests/testbed/fleet_test.cpp
+++ b/tests/testbed/fleet_test.cpp
@@ -1,5 +1,5 @@
-// Processes of one fleet that fail together: real balancers, datagrams between them cut, dropped, delayed and
-// corrupted, and the verdict on their common limit from the records of the stand-in servers.
+// Faults in a fleet of real balancers, with datagrams between them cut, dropped, delayed and corrupted. The
+// records of the stand-in servers show whether the fleet's limit holds.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -13,10 +13,10 @@
 namespace meadowgauge::testbed {
 namespace {
 
-// Two zones of three balancers (even numbers in one, odd ones in the other), one limit of 90 a second of
-// which each owns 15; 240 a second are asked for, at the begin all in the first zone, so that it has borrowed
-// from the second.
-constexpr double limit = 90, part = 15;
+// Two zones of three balancers (even numbers in one, odd ones in the other) share a limit. 240 requests a
+// second are offered, at first all in the first zone, so that its balancers borrow from those of the second.
+constexpr double limit = 90;  // requests a second over the fleet
+constexpr double part = 15;   // requests a second that each balancer owns
 const std::string common = R"(
 [[tiers]]
 servers = 4
@@ -40,18 +40,19 @@
 [fleet]
 )";
 const std::string all_in_a = "[clients]\nfresh_connections = true\nzone_shares = [\"1\", \"0\"]\n";
-std::string zone_shares_from(double at, const std::string& shares) {
-  return "[[clients.moves]]\nat = " + std::to_string(at) + "\nzone_shares = [" + shares + "]\n";
+std::string zone_shares_from(double at_s, const std::string& shares) {
+  return "[[clients.moves]]\nat = " + std::to_string(at_s) + "\nzone_shares = [" + shares + "]\n";
 }
 const std::string between_zones = "from = [\"0\", \"2\", \"4\"]\nto = [\"1\", \"3\", \"5\"]\n";
 
 struct FleetRun {
   RunMetrics metrics;
   const LimitRow& row() const { return metrics.limits.front(); }
-  // Admitted a second from `from` to `until` s, by these balancers or all.
-  double admitted(double from, double until, const std::vector<std::size_t>& by = {0, 1, 2, 3, 4, 5}) const {
+  // Requests a second admitted from `from_s` to `until_s`, by these balancers or all.
+  double admitted(double from_s, double until_s,
+                  const std::vector<std::size_t>& by = {0, 1, 2, 3, 4, 5}) const {
     double sum = 0;
-    auto first = static_cast<std::size_t>(from * 2), last = static_cast<std::size_t>(until * 2);
+    auto first = static_cast<std::size_t>(from_s * 2), last = static_cast<std::size_t>(until_s * 2);
     for (auto b : by)
       for (auto i = first; i < last; ++i) sum += row().by[b][i];
     return sum / static_cast<double>(last - first);
@@ -85,7 +86,7 @@
   EXPECT_GT(result.admitted(2, 3), 0.85 * limit);
   EXPECT_GT(result.admitted(4.5, 6, {0, 2, 4}), 0.7 * 3 * part);
   EXPECT_GT(result.admitted(4.5, 6, {1, 3, 5}), 0.7 * 3 * part);
-  EXPECT_GT(result.admitted(8, 10), 0.85 * limit);  // 2 s after it healed
+  EXPECT_GT(result.admitted(8, 10), 0.85 * limit);  // 2 s after the partition has ended
 }
 
 TEST(FleetRun, OneIsPartitionedFromAllWithTraffic) {
@@ -104,7 +105,7 @@
   EXPECT_GT(result.admitted(8, 9), 0.85 * limit);
 }
 
-// They had lent all they own, and traffic comes to them the moment they are back.
+// The lenders have lent their complete parts, and get traffic at once after the restart.
 TEST(FleetRun, LendersAreKilledAndRestartedAtOnceUnderLoad) {
   auto result =
       run(10,
@@ -114,7 +115,7 @@
   EXPECT_GT(result.admitted(8, 10), 0.85 * limit);
 }
 
-// An ask and its grant take almost a lease each: what is granted has lapsed when it comes.
+// A request for quota and its grant take almost a lease each: the lease expires before the grant arrives.
 TEST(FleetRun, DatagramsAreDelayedByMostOfALease) {
   auto result = run(9, all_in_a + zone_shares_from(4, "\"1\", \"1\"") +
                            "[[letters]]\nwhat = \"delay\"\nms = 850\nat = 0.5\nfor = 6\n");
@@ -126,11 +127,11 @@
   auto result =
       run(9, all_in_a + zone_shares_from(3, "\"1\", \"1\"") +
                  "[[faults]]\nwhat = \"freeze_balancer\"\nat = 3\nfor = 2.5\nwhich = [\"0\", \"2\"]\n");
-  EXPECT_GT(result.admitted(4.5, 5.5), 0.7 * 4 * part);  // the parts of those two lie idle
+  EXPECT_GT(result.admitted(4.5, 5.5), 0.7 * 4 * part);  // the parts of the two paused balancers are unused
   EXPECT_GT(result.admitted(7.5, 9), 0.85 * limit);
 }
 
-// It gets a turn for 80 ms in each 200: what it reads late, answers late and lets through late.
+// One balancer runs for 80 ms of every 200 ms, so that it receives, sends and admits late.
 TEST(FleetRun, OneHasASlowLoop) {
   std::string text = all_in_a + zone_shares_from(4, "\"1\", \"1\"");
   for (int k = 0; k < 20; ++k)
@@ -150,7 +151,7 @@
   EXPECT_GT(result.admitted(10, 12), 0.85 * limit);
 }
 
-TEST(FleetRun, DatagramsAreDroppedDuplicatedDelayedReorderedAndCorrupted) {
+TEST(FleetRun, AllDatagramFaultsTogether) {
   std::string text = all_in_a + zone_shares_from(4, "\"1\", \"2\"");
   for (const char* f : {"what = \"lose\"\nshare = 0.5", "what = \"twice\"\nshare = 0.4\nms = 1700",
                         "what = \"reorder\"\nshare = 0.4\nms = 300",
@@ -161,8 +162,8 @@
   EXPECT_GT(result.admitted(6, 8), 0.6 * limit);
 }
 
-// Four that run learn of two newcomers while they are partitioned; the newcomers start and are received by
-// one side.
+// Four running balancers are reloaded with two new peers during a partition; one side can reach the new
+// peers.
 TEST(FleetRun, PeersAreAddedByAReloadDuringAPartition) {
   auto result =
       run(10,
@@ -175,9 +176,9 @@
   EXPECT_GT(result.admitted(8, 10), 0.85 * limit);
 }
 
-// Twelve requests a second for each of eight servers; one answers none for four seconds. Each balancer alone
-// lost one or two there, again after each bench. Once it answers it is used again.
-TEST(FleetRun, ABlackHoledServerIsLeftByAllAndTriedByOne) {
+// Twelve requests a second reach each of eight servers, one of which doesn't respond for four seconds. Each
+// balancer alone loses requests there after each ejection; shared verdicts bound the loss over the fleet.
+TEST(FleetRun, SharedVerdictsLimitBlackHoledRequests) {
   for (bool verdicts : {true, false}) {
     auto e = experiment(R"(
 seconds = 10
@@ -213,11 +214,11 @@
     int black_holed = 0, after = 0;
     for (const auto& record : result.history.server_records) {
       if (record.server != 3) continue;
-      double at = record.first_byte_ms - result.begin_ms;
-      if (at > 3000 && at < 7000 && record.answered_ms == never) ++black_holed;
-      if (at > 8500 && record.answered_ms != never) ++after;
+      double at_ms = record.first_byte_ms - result.begin_ms;
+      if (at_ms > 3000 && at_ms < 7000 && record.answered_ms == never) ++black_holed;
+      if (at_ms > 8500 && record.answered_ms != never) ++after;
     }
-    std::printf("[ swallowed ] %d with verdicts %s, %d answered there after\n", black_holed,
+    std::printf("[ unanswered ] %d with verdicts %s, %d answered after the fault\n", black_holed,
                 verdicts ? "on" : "off", after);
     if (verdicts) {
       EXPECT_LE(black_holed, 11);
--- a/tests/testbed/relay_test.cpp
+++ b/tests/testbed/relay_test.cpp
@@ -1,4 +1,4 @@
-// The relay on sockets: what a client sees of each fault, and the `fault` command.
+// The relay on sockets: each fault's outcome for a client, and the `fault` command.
 #include "testbed/stand_ins/relay.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 namespace meadowgauge::testbed {
 namespace {
 
-// A client and a server with a relay between them, in one loop.
+// A client, a relay and a server in one event loop.
 struct RelayFixture final : Server::Environment, HttpClient::Handler {
   transport::Clock clock;
   TestbedContext context{clock};
@@ -63,7 +63,7 @@
   void on_result(std::uint64_t, const HttpClient::Result& result) override { results.push_back(result); }
   int pick_target(int) override { return 0; }
 
-  // Sends one request and runs until that has ended.
+  // Sends one request and runs until its result.
   HttpClient::Result send(const std::string& id, double timeout_ms = 5000) {
     auto token = results.size();
     std::string message =
@@ -80,7 +80,7 @@
   EXPECT_EQ(f.relay->connections(), 1U);
 }
 
-TEST(Relay, ClosesAfterANonIdempotentRequestReachedTheServerAndBeforeAByteOfItsResponse) {
+TEST(Relay, ClosesBetweenRequestAndResponse) {
   RelayFixture f("cut at=end after=2 most=1");
   EXPECT_EQ(f.send("v1").outcome, Outcome::succeeded);
   EXPECT_EQ(f.send("v2").outcome, Outcome::succeeded);
@@ -90,14 +90,14 @@
   f.context.run(
       [&] { return f.records.size() == 3 && f.records[2].result == ServerRecord::Result::executed; });
   EXPECT_EQ(f.records[2].id, "v3");
-  EXPECT_EQ(f.send("v4").outcome, Outcome::succeeded);  // on a new one
+  EXPECT_EQ(f.send("v4").outcome, Outcome::succeeded);  // on a new connection
   ASSERT_EQ(f.relay->injected().size(), 1U);
   EXPECT_EQ(f.relay->injected()[0].message, 3U);
 }
 
-TEST(Relay, EachFaultHasItsOutcomeAndIsInjectedAtTheSameByte) {
+TEST(Relay, EachFaultHasItsOutcomeAtTheSameByte) {
   const std::pair<std::string, Outcome> cases[] = {
-      {"reset at=byte:10", Outcome::unreachable},  // or connection_lost, by how far the kernel had come
+      {"reset at=byte:10", Outcome::unreachable},  // or connection_lost, depending on the kernel's progress
       {"cut at=body way=client", Outcome::connection_lost},
       {"reset at=header:Content-Length way=client", Outcome::connection_lost},
       {"half at=header:Content-Length way=client", Outcome::connection_lost},
@@ -130,7 +130,7 @@
   }
 }
 
-TEST(Relay, ABlackHoledConnectionIsForgottenOnceBothEndsHaveEnded) {
+TEST(Relay, BlackHoledPairEndsWithBothConnections) {
   RelayFixture f("silence at=end way=server");
   for (int i = 0; i < 5; ++i) EXPECT_EQ(f.send("v" + std::to_string(i), 50).outcome, Outcome::timed_out);
   EXPECT_EQ(f.relay->injection_count(), 5U);
@@ -138,7 +138,7 @@
   f.context.run([&] { return f.relay->open_connections() == 0; });
 }
 
-TEST(Relay, CorruptionInsideOneHeaderLeavesAllElse) {
+TEST(Relay, CorruptionStaysInItsHeader) {
   RelayFixture f("garble at=header:X-Call-Id bytes=3 most=1");
   f.send("visit1");
   ASSERT_EQ(f.records.size(), 1U);
@@ -147,14 +147,14 @@
   EXPECT_EQ(f.records[0].id.substr(3), "it1");
 }
 
-TEST(Relay, ARefusedConnectionIsAResetAtTheClient) {
+TEST(Relay, RefusedConnectionIsAResetAtTheClient) {
   RelayFixture f("cut at=end after=1000");
   f.server.stop();
   auto result = f.send("v1");
   EXPECT_TRUE(result.outcome == Outcome::connection_lost || result.outcome == Outcome::unreachable);
 }
 
-// What the relay's thread writes, line by line, for the test's thread.
+// Passes the lines written by the relay's thread to the test's thread.
 class Output final : public std::streambuf {
  public:
   std::string wait_for_line() {
@@ -175,13 +175,13 @@
   std::string text_;
 };
 
-// The address that follows `before`.
+// Returns the address that follows `before`.
 transport::Address address_after(const std::string& text, const std::string& before) {
   auto at = text.find(before) + before.size();
   return *transport::Address::parse(text.substr(at, text.find_first_of(" ,\n", at) - at));
 }
 
-// The answer to one command, up to its last line.
+// Returns the complete reply to one command.
 std::string send_command(int fd, const std::string& command) {
   auto line = command + "\n";
   EXPECT_EQ(send(fd, line.data(), line.size(), MSG_NOSIGNAL), static_cast<ssize_t>(line.size()));
@@ -193,9 +193,9 @@
   return answer;
 }
 
-// `fault` by itself, commanded over its local socket while it runs.
+// Runs `fault` alone and commands it over its local socket.
 TEST(FaultCommand, TakesCommandsWhileItRuns) {
-  RelayFixture f("cut at=end after=1000");  // only its server is used
+  RelayFixture f("cut at=end after=1000");  // only the server of the fixture is used
   Output output;
   std::ostream out(&output);
   std::atomic<bool> stop{false};
--- a/tests/testbed/server_model_test.cpp
+++ b/tests/testbed/server_model_test.cpp
@@ -24,7 +24,7 @@
   EXPECT_EQ(done[0].job, 1U);
   EXPECT_TRUE(done[1].started && done[1].job == 3);
   EXPECT_EQ(s.arrive(5, 10, "", 0, 11), Admission::queued);
-  s.abandon(5);  // never runs
+  s.abandon(5);  // never executes
   EXPECT_EQ(s.advance(100).size(), 2U);
   EXPECT_EQ(s.running() + s.waiting(), 0);
 }
@@ -40,7 +40,7 @@
   s.arrive(2, 10, "", 0, 100);
   s.arrive(3, 10, "", 0, 100);
   s.arrive(4, 10, "", 0, 100);
-  s.advance(110);  // the next starts with two jobs on one core: as slow again
+  s.advance(110);  // the next job starts with two jobs on one core, which doubles its duration
   EXPECT_EQ(s.next_event_ms(), 130);
   s.stall(500);
   EXPECT_EQ(s.next_event_ms(), 500);
@@ -56,7 +56,7 @@
   EXPECT_EQ(s.arrive(7, 1, "", 0, 501), Admission::failed);
 }
 
-TEST(ServerModel, DuplicatesAreDroppedWithinTheirWindowAndForgottenAfter) {
+TEST(ServerModel, DuplicatesAreDroppedWithinTheirWindow) {
   DeduplicationCache cache;
   ServerModel a({.cores = 9}, 1, 0, false), b({.cores = 9}, 2, 0, false);
   using Admission = ServerModel::Admission;
@@ -82,13 +82,14 @@
   for (int at = 0; at < 4000; at += 10) {
     gentle.advance(at);
     pushed.advance(at);
-    // 2 cores at a quarter do 500 ms of work a second; twice that is 10 ms each 10 ms.
+    // 2 cores at a quarter of the speed do 500 ms of work a second; the crash limit is twice that, 10 ms per
+    // 10 ms.
     EXPECT_NE(gentle.arrive(static_cast<JobId>(at), 9.5, "", 0, at), Admission::crashed) << at;
     crashed = crashed || pushed.arrive(static_cast<JobId>(at), 30, "", 0, at) == Admission::crashed;
     EXPECT_TRUE(gentle.invariants_hold() && pushed.invariants_hold());
   }
   EXPECT_TRUE(crashed);
-  EXPECT_EQ(pushed.arrive(1, 1, "", 0, 9000), Admission::crashed);  // and stays down
+  EXPECT_EQ(pushed.arrive(1, 1, "", 0, 9000), Admission::crashed);  // the server stays down
 }
 
 TEST(ServerModel, InvariantsHoldForAnyEvents) {
--- a/tests/testbed/traffic_test.cpp
+++ b/tests/testbed/traffic_test.cpp
@@ -1,4 +1,4 @@
-// What clients do, without I/O: arrivals, retries, the front balancer, and the histogram of latencies.
+// The clients without I/O: arrivals, retries, the front balancer, and the histogram of latencies.
 #include "testbed/model/traffic.hpp"
 
 #include <gtest/gtest.h>
@@ -69,7 +69,7 @@
   EXPECT_NEAR(calm, 2000, 200);   // 500 a second
   EXPECT_NEAR(burst, 2000, 200);  // 250 and three times 250
   EXPECT_NEAR(of_b, 1500, 170);
-  EXPECT_NEAR(ramp, 1000, 150);  // from 0 to twice
+  EXPECT_NEAR(ramp, 1000, 150);  // a ramp from 0 to twice the rate
 }
 
 TEST(Traffic, WorkersTogetherMakeTheWhole) {
@@ -84,7 +84,7 @@
   for (auto [n, times] : numbers) EXPECT_EQ(times, 1) << n;
 }
 
-TEST(RetryPolicy, NonIdempotentRequestsOnlyAfterRejectionAndRetryAfterIsHonored) {
+TEST(RetryPolicy, NonIdempotentOnlyIfRejectedRetryAfterHonored) {
   RetryPolicy r({.max_retries = 2, .backoff_ms = 100}, 5);
   EXPECT_TRUE(r.delay_before_retry(1, 1, true, true, 0, 9000));
   EXPECT_FALSE(r.delay_before_retry(1, 1, false, true, 0, 9000));
@@ -93,23 +93,23 @@
   EXPECT_GE(*r.delay_before_retry(1, 1, true, false, 5000, 9000), 5000);
   EXPECT_EQ(r.delay_before_retry(9, 1, true, false, 0, 9000),
             r.delay_before_retry(9, 1, true, false, 0, 9000));
-  EXPECT_FALSE(r.delay_before_retry(1, 1, true, false, 0, 85));  // a retry could not be answered in time
+  EXPECT_FALSE(r.delay_before_retry(1, 1, true, false, 0, 85));  // too little time for a response
   EXPECT_LE(*r.delay_before_retry(1, 1, true, false, 0, 9000), 125);
   EXPECT_GE(*r.delay_before_retry(1, 2, true, false, 0, 9000), 150);
 }
 
-TEST(FrontBalancer, PicksRoundRobinAndNoticesADeathLate) {
+TEST(FrontBalancer, PicksRoundRobinAndDetectsFailuresLate) {
   FrontBalancer f({0, 1, 0}, 1000);
   EXPECT_EQ(f.pick(0, 0), 0);
   EXPECT_EQ(f.pick(0, 0), 2);
   EXPECT_EQ(f.pick(0, 0), 0);
   f.mark_down(0, 100);
   EXPECT_EQ(f.pick(0, 200), 2);
-  EXPECT_EQ(f.pick(0, 200), 0);  // not noticed yet
+  EXPECT_EQ(f.pick(0, 200), 0);  // not detected yet
   EXPECT_EQ(f.pick(0, 1200), 2);
   EXPECT_EQ(f.pick(0, 1200), 2);
   f.mark_down(2, 1200);
-  EXPECT_EQ(f.pick(0, 3000), 1);  // none of its zone is left
+  EXPECT_EQ(f.pick(0, 3000), 1);  // no target of the zone is up
   f.mark_up(0);
   EXPECT_EQ(f.pick(0, 3000), 0);
 }
