--- a/bench/baselines/least_in_flight.cpp
+++ b/bench/baselines/least_in_flight.cpp
@@ -2,19 +2,20 @@
 
 namespace meadowgauge::baselines {
 
-// The server with the fewest own requests out, drawn among equals; one repeat where nothing may have run.
+// Chooses the server with the fewest own requests in flight, drawn among equals. One retry of requests that
+// are idempotent or have not executed.
 EndpointIndex choose(std::span<const EndpointIndex> ready, State& s) {
   EndpointIndex best = no_endpoint;
   std::size_t equals = 0;
   for (EndpointIndex i : ready) {
-    int out = s.servers[position_of(i)].in_flight;
-    int least = best == no_endpoint ? out + 1 : s.servers[position_of(best)].in_flight;
-    if (out < least) equals = 0;
-    if (out <= least && s.below(++equals) == 0) best = i;
+    int in_flight = s.servers[position_of(i)].in_flight;
+    int min_in_flight = best == no_endpoint ? in_flight + 1 : s.servers[position_of(best)].in_flight;
+    if (in_flight < min_in_flight) equals = 0;
+    if (in_flight <= min_in_flight && s.below(++equals) == 0) best = i;
   }
   return best;
 }
-const int most_repeats = 1;
+const int max_retries = 1;
 const Flaws flaws;
 
 }  // namespace meadowgauge::baselines
--- a/bench/baselines/plain.cpp
+++ b/bench/baselines/plain.cpp
@@ -6,7 +6,7 @@
 namespace meadowgauge {
 
 using baselines::flaws;
-using baselines::most_repeats;
+using baselines::max_retries;
 using baselines::State;
 
 class Policy::Core {
@@ -19,19 +19,20 @@
   std::vector<EndpointIndex> ready;
   double tick_ms = 5;
 
-  [[nodiscard]] bool idempotent(const Request& v) const {
-    return v.request_class >= 0 && v.request_class < static_cast<int>(request_classes.size()) &&
-           request_classes[static_cast<std::size_t>(v.request_class)].idempotent;
+  [[nodiscard]] bool idempotent(const Request& request) const {
+    return request.request_class >= 0 && request.request_class < static_cast<int>(request_classes.size()) &&
+           request_classes[static_cast<std::size_t>(request.request_class)].idempotent;
   }
-  [[nodiscard]] static bool ran_maybe(const Attempt& f) {
-    return f.in_flight || (f.outcome != Outcome::rejected && f.outcome != Outcome::unreachable);
+  [[nodiscard]] static bool may_have_executed(const Attempt& attempt) {
+    return attempt.in_flight ||
+           (attempt.outcome != Outcome::rejected && attempt.outcome != Outcome::unreachable);
   }
-  [[nodiscard]] bool ran_maybe(const Request& v) const {
-    return std::any_of(v.attempts.begin(), v.attempts.begin() + v.attempt_count,
-                       [](const Attempt& f) { return ran_maybe(f); });
+  [[nodiscard]] bool may_have_executed(const Request& request) const {
+    return std::any_of(request.attempts.begin(), request.attempts.begin() + request.attempt_count,
+                       [](const Attempt& attempt) { return may_have_executed(attempt); });
   }
 
-  Decision send(Request& v, double now_ms) {
+  Decision send(Request& request, double now_ms) {
     ready.clear();
     for (int tried = 0; tried < 2 && ready.empty(); ++tried)
       for (std::size_t n = 0; n < state.servers.size(); ++n) {
@@ -39,48 +40,49 @@
         const auto& s = state.servers[n];
         bool usable =
             s.state == EndpointState::ready || (flaws.ignores_drains && s.state == EndpointState::draining);
-        bool again = std::any_of(v.attempts.begin(), v.attempts.begin() + v.attempt_count,
-                                 [&](const Attempt& f) { return f.endpoint == i; });
+        bool again = std::any_of(request.attempts.begin(), request.attempts.begin() + request.attempt_count,
+                                 [&](const Attempt& attempt) { return attempt.endpoint == i; });
         if (usable && (tried == 1 || !again)) ready.push_back(i);
       }
-    if (ready.empty() || v.attempt_count >= max_attempts || now_ms >= v.deadline_ms) return finish(v);
+    if (ready.empty() || request.attempt_count >= max_attempts || now_ms >= request.deadline_ms)
+      return finish(request);
     EndpointIndex endpoint = baselines::choose(ready, state);
     ++state.servers[position_of(endpoint)].in_flight;
-    v.attempts[static_cast<std::size_t>(v.attempt_count++)] = {.endpoint = endpoint,
-                                                               .sent_at_ms = now_ms,
-                                                               .outcome = Outcome::superseded,
-                                                               .in_flight_at_send = 1,
-                                                               .in_flight = true};
-    ++v.in_flight;
+    request.attempts[static_cast<std::size_t>(request.attempt_count++)] = {.endpoint = endpoint,
+                                                                           .sent_at_ms = now_ms,
+                                                                           .outcome = Outcome::superseded,
+                                                                           .in_flight_at_send = 1,
+                                                                           .in_flight = true};
+    ++request.in_flight;
     return {.kind = Decision::attempt, .endpoint = endpoint};
   }
 
-  Decision finish(Request& v) const {
-    if (flaws.forgets) return {};
-    v.answered = true;
-    return {.kind = !idempotent(v) && ran_maybe(v) ? Decision::fail : Decision::reject};
+  Decision finish(Request& request) const {
+    if (flaws.loses_requests) return {};
+    request.answered = true;
+    return {.kind = !idempotent(request) && may_have_executed(request) ? Decision::fail : Decision::reject};
   }
 
-  Decision after(Request& v, const AttemptResult& r, double now_ms) {
-    if (r.attempt < 0 || r.attempt >= v.attempt_count ||
-        !v.attempts[static_cast<std::size_t>(r.attempt)].in_flight)
+  Decision after(Request& request, const AttemptResult& result, double now_ms) {
+    if (result.attempt < 0 || result.attempt >= request.attempt_count ||
+        !request.attempts[static_cast<std::size_t>(result.attempt)].in_flight)
       return {};
-    auto& f = v.attempts[static_cast<std::size_t>(r.attempt)];
-    f.in_flight = false;
-    f.outcome = r.outcome;
-    --v.in_flight;
-    auto& s = state.servers[position_of(f.endpoint)];
+    auto& attempt = request.attempts[static_cast<std::size_t>(result.attempt)];
+    attempt.in_flight = false;
+    attempt.outcome = result.outcome;
+    --request.in_flight;
+    auto& s = state.servers[position_of(attempt.endpoint)];
     s.in_flight = std::max(0, s.in_flight - 1);
-    if (v.answered) return {};
-    if (r.request_closed) {
-      v.answered = true;
+    if (request.answered) return {};
+    if (result.request_closed) {
+      request.answered = true;
       return {};
     }
-    if (v.in_flight > 0) return {};
-    bool harmless = idempotent(v) || !ran_maybe(v) || flaws.repeats;
-    if (harmless && v.attempt_count <= most_repeats && r.outcome != Outcome::cancelled)
-      return send(v, now_ms);
-    return finish(v);
+    if (request.in_flight > 0) return {};
+    bool may_retry = idempotent(request) || !may_have_executed(request) || flaws.retries_non_idempotent;
+    if (may_retry && request.attempt_count <= max_retries && result.outcome != Outcome::cancelled)
+      return send(request, now_ms);
+    return finish(request);
   }
 };
 
@@ -106,18 +108,18 @@
   return core_->after(request, result, now_ms);
 }
 AttemptTimeout Policy::attempt_timeout(const Request& request, double now_ms) {
-  // One that repeats what may have run has to give the first up early for that.
-  double left = std::max(5.0, request.deadline_ms - now_ms - 10);
-  return {.limit_ms = flaws.repeats ? std::min(left, 60.0) : left};
+  // A balancer that retries non-idempotent requests needs a short timeout for the retry to happen in time.
+  double left_ms = std::max(5.0, request.deadline_ms - now_ms - 10);
+  return {.limit_ms = flaws.retries_non_idempotent ? std::min(left_ms, 60.0) : left_ms};
 }
-// Nothing that may have run is repeated within a group here: none binds where another attempt may go.
+// No baseline retries within a deduplication scope, so no earlier attempt restricts the next endpoint.
 bool Policy::may_still_be_sent(const Request&, int) const { return true; }
 Decision Policy::client_left(Request& request, double) {
   request.answered = true;
-  Decision a;
+  Decision decision;
   for (int i = 0; i < request.attempt_count; ++i)
-    if (request.attempts[static_cast<std::size_t>(i)].in_flight) a.cancel |= 1U << i;
-  return a;
+    if (request.attempts[static_cast<std::size_t>(i)].in_flight) decision.cancel |= 1U << i;
+  return decision;
 }
 Decision Policy::response_started(Request& request, int, double) {
   request.streaming = true;
--- a/bench/baselines/plain.hpp
+++ b/bench/baselines/plain.hpp
@@ -1,6 +1,6 @@
-// What the baselines share: textbook balancers behind the same interface as the decision module, linked in
-// its place for comparison. They keep the rules on answers, repeats and drains, and do nothing else: no
-// throttle, no memory of a server's past, no care for cold ones.
+// Shared by the baselines: textbook balancers that replace the policy behind its interface, for comparison.
+// They keep the rules on responses, retries and drains, without concurrency limits, outlier detection or slow
+// start.
 #pragma once
 
 #include <cstdint>
@@ -29,12 +29,12 @@
 
 // Each baseline defines these.
 EndpointIndex choose(std::span<const EndpointIndex> ready, State& state);
-extern const int most_repeats;  // attempts beyond the first, where nothing may have run
+extern const int max_retries;  // only of requests that are idempotent or have not executed
 
-// How one that is broken on purpose is broken; a sound one has no flaw.
+// The rules that a deliberately broken balancer violates; baselines violate none.
 struct Flaws {
-  bool forgets = false;  // no answer of its own: a request that failed is let lie
-  bool repeats = false;  // sends a non-idempotent request again though it may have run
+  bool loses_requests = false;          // gives no final response to a failed request
+  bool retries_non_idempotent = false;  // even if the request may have executed
   bool ignores_drains = false;
 };
 extern const Flaws flaws;
--- a/bench/baselines/random.cpp
+++ b/bench/baselines/random.cpp
@@ -2,9 +2,9 @@
 
 namespace meadowgauge::baselines {
 
-// Any server, whatever it has; no repeat.
+// Chooses a server uniformly at random. No retries.
 EndpointIndex choose(std::span<const EndpointIndex> ready, State& s) { return ready[s.below(ready.size())]; }
-const int most_repeats = 0;
+const int max_retries = 0;
 const Flaws flaws;
 
 }  // namespace meadowgauge::baselines
--- a/bench/baselines/round_robin.cpp
+++ b/bench/baselines/round_robin.cpp
@@ -2,11 +2,11 @@
 
 namespace meadowgauge::baselines {
 
-// Servers in turn; no repeat.
+// Chooses the servers round-robin. No retries.
 EndpointIndex choose(std::span<const EndpointIndex> ready, State& s) {
   return ready[s.turn++ % ready.size()];
 }
-const int most_repeats = 0;
+const int max_retries = 0;
 const Flaws flaws;
 
 }  // namespace meadowgauge::baselines
--- a/tests/broken/broken.cpp
+++ b/tests/broken/broken.cpp
@@ -1,5 +1,5 @@
-// Balancers that each break one rule on purpose, so that tests can show that the testbed's checker catches
-// them. Which rule is chosen when it is compiled (BROKEN_*).
+// Balancers that each violate one rule on purpose, to test that the testbed's checker reports the violation.
+// The definition BROKEN_* selects the rule at compile time.
 #include <algorithm>
 #include <cstdlib>
 
@@ -12,7 +12,7 @@
   if (++s.turn > 150) std::_Exit(0);
 #endif
 #ifdef BROKEN_SLOW_START
-  // All requests go to the server that started last.
+  // Sends all requests to the server that started last.
   return *std::max_element(ready.begin(), ready.end(), [&](EndpointIndex a, EndpointIndex b) {
     return s.servers[position_of(a)].up_since_ms < s.servers[position_of(b)].up_since_ms;
   });
@@ -21,16 +21,16 @@
 #endif
 }
 #ifdef BROKEN_DUPLICATE
-const int most_repeats = 2;
+const int max_retries = 2;
 #else
-const int most_repeats = 0;
+const int max_retries = 0;
 #endif
 const Flaws flaws{
 #ifdef BROKEN_LOST
-    .forgets = true,
+    .loses_requests = true,
 #endif
 #ifdef BROKEN_DUPLICATE
-    .repeats = true,
+    .retries_non_idempotent = true,
 #endif
 #ifdef BROKEN_DRAINS
     .ignores_drains = true,
