--- a/src/testbed/experiment_reader.cpp
+++ b/src/testbed/experiment_reader.cpp
@@ -219,7 +219,7 @@
     else
       r.wrong("set", "must hold items name=value, not: " + setting);
   }
-  if (direct == !build.program.empty()) r.wrong("program", "is needed, unless direct = true");
+  if (direct == !build.program.empty()) r.wrong("program", "must be set, or direct = true, but not both");
   return build;
 }
 
--- a/src/testbed/history.hpp
+++ b/src/testbed/history.hpp
@@ -78,7 +78,7 @@
 struct BalancerExit {
   enum class Cause : std::uint8_t { killed, planned, crashed };
   int tier = 0, balancer = 0;
-  double at_ms = 0;  // when the signal was sent; for a crash, when the testbed detected it
+  double at_ms = 0;  // time of the signal; for a crash, of its detection
   Cause cause = Cause::killed;
   double exited_ms = 0;  // when the process had exited
 };
--- a/src/testbed/run_metrics.cpp
+++ b/src/testbed/run_metrics.cpp
@@ -15,7 +15,7 @@
 constexpr double worst_window_ms = 2000;        // the window of the worst weighted success
 constexpr double rounding_tolerance_ms = 1e-6;  // where window and slice boundaries coincide
 constexpr double unbounded_tail_ms = 1e9;       // the reference tail without requests before the fault
-constexpr double tail_latency_quantile = 0.99;  // share of the requests at or below the tail latency
+constexpr double tail_latency_share = 0.99;     // share of the requests at or below the tail latency
 
 // A count as a divisor that is never zero.
 double positive_count(std::uint64_t count) { return std::max<double>(1, static_cast<double>(count)); }
@@ -223,7 +223,7 @@
       latency.merge(slice.latency);
     }
     if (window.offered > 0) window.share = static_cast<double>(good) / static_cast<double>(window.offered);
-    window.tail_ms = latency.quantile(tail_latency_quantile);
+    window.tail_ms = latency.quantile(tail_latency_share);
     return window;
   }
 
--- a/src/testbed/stand_ins/discovery.hpp
+++ b/src/testbed/stand_ins/discovery.hpp
@@ -23,7 +23,7 @@
 
 class Discovery final : HttpServer::Handler, TestbedContext::Component {
  public:
-  // Called when an entry was sent to a balancer.
+  // Receives each entry that discovery sends to a balancer.
   using NotificationSink = std::function<void(int balancer, int server, DiscoveryEndpoint::Health health)>;
 
   // Opens one listener for each balancer. Throws std::system_error if it cannot listen.
--- a/tests/testbed/checker_test.cpp
+++ b/tests/testbed/checker_test.cpp
@@ -142,7 +142,7 @@
   }
   Records cut;
   cut.add_attempt("a", 1);
-  cut.add_record("a", 0, 105, Result::incomplete).last_byte_ms = never;  // the last byte was never received
+  cut.add_record("a", 0, 105, Result::incomplete).last_byte_ms = never;  // an incomplete request
   cut.add_record("a", 1, 110);
   EXPECT_EQ(cut.violated(), -1);
 }
--- a/tests/testbed/fleet_test.cpp
+++ b/tests/testbed/fleet_test.cpp
@@ -15,8 +15,8 @@
 
 // Two zones of three balancers (even numbers in one, odd ones in the other) share a limit. 240 requests a
 // second are offered, at first all in the first zone, so that its balancers borrow from those of the second.
-constexpr double limit = 90;  // requests a second over the fleet
-constexpr double part = 15;   // requests a second that each balancer owns
+constexpr double limit_per_s = 90;  // requests over the fleet
+constexpr double part_per_s = 15;   // requests that each balancer owns
 const std::string common = R"(
 [[tiers]]
 servers = 4
@@ -83,26 +83,26 @@
 TEST(FleetRun, HalvesArePartitionedAndBothHaveTraffic) {
   auto result = run(10, all_in_a + zone_shares_from(3, "\"1\", \"1\"") + zone_shares_from(6, "\"0\", \"1\"") +
                             "[[letters]]\nwhat = \"cut\"\nboth = true\nat = 3\nfor = 3\n" + between_zones);
-  EXPECT_GT(result.admitted(2, 3), 0.85 * limit);
-  EXPECT_GT(result.admitted(4.5, 6, {0, 2, 4}), 0.7 * 3 * part);
-  EXPECT_GT(result.admitted(4.5, 6, {1, 3, 5}), 0.7 * 3 * part);
-  EXPECT_GT(result.admitted(8, 10), 0.85 * limit);  // 2 s after the partition has ended
+  EXPECT_GT(result.admitted(2, 3), 0.85 * limit_per_s);
+  EXPECT_GT(result.admitted(4.5, 6, {0, 2, 4}), 0.7 * 3 * part_per_s);
+  EXPECT_GT(result.admitted(4.5, 6, {1, 3, 5}), 0.7 * 3 * part_per_s);
+  EXPECT_GT(result.admitted(8, 10), 0.85 * limit_per_s);  // 2 s after the partition has ended
 }
 
 TEST(FleetRun, OneIsPartitionedFromAllWithTraffic) {
   auto result =
       run(9, all_in_a + "[[letters]]\nwhat = \"cut\"\nboth = true\nat = 3\nfor = 3\nfrom = [\"0\"]\n");
-  EXPECT_GT(result.admitted(4.5, 6, {0}), 0.7 * part);
-  EXPECT_GT(result.admitted(4.5, 6), 0.85 * limit);
-  EXPECT_GT(result.admitted(8, 9), 0.85 * limit);
+  EXPECT_GT(result.admitted(4.5, 6, {0}), 0.7 * part_per_s);
+  EXPECT_GT(result.admitted(4.5, 6), 0.85 * limit_per_s);
+  EXPECT_GT(result.admitted(8, 9), 0.85 * limit_per_s);
 }
 
 TEST(FleetRun, DatagramsPassInOneDirectionOnly) {
   auto result = run(9, all_in_a + zone_shares_from(4, "\"1\", \"1\"") +
                            "[[letters]]\nwhat = \"cut\"\nat = 3\nfor = 3\n" + between_zones);
-  EXPECT_GT(result.admitted(4.5, 6, {0, 2, 4}), 0.7 * 3 * part);
-  EXPECT_GT(result.admitted(4.5, 6, {1, 3, 5}), 0.7 * 3 * part);
-  EXPECT_GT(result.admitted(8, 9), 0.85 * limit);
+  EXPECT_GT(result.admitted(4.5, 6, {0, 2, 4}), 0.7 * 3 * part_per_s);
+  EXPECT_GT(result.admitted(4.5, 6, {1, 3, 5}), 0.7 * 3 * part_per_s);
+  EXPECT_GT(result.admitted(8, 9), 0.85 * limit_per_s);
 }
 
 // The lenders have lent their complete parts, and get traffic at once after the restart.
@@ -112,23 +112,24 @@
           all_in_a + zone_shares_from(3, "\"1\", \"1\"") +
               "[[faults]]\nwhat = \"kill_balancer\"\nat = 3\nfor = 0.05\nwhich = [\"1\", \"3\", \"5\"]\n",
           "lease_ms = 2000\n");
-  EXPECT_GT(result.admitted(8, 10), 0.85 * limit);
+  EXPECT_GT(result.admitted(8, 10), 0.85 * limit_per_s);
 }
 
 // A request for quota and its grant take almost a lease each: the lease expires before the grant arrives.
 TEST(FleetRun, DatagramsAreDelayedByMostOfALease) {
   auto result = run(9, all_in_a + zone_shares_from(4, "\"1\", \"1\"") +
                            "[[letters]]\nwhat = \"delay\"\nms = 850\nat = 0.5\nfor = 6\n");
-  EXPECT_GT(result.admitted(2.5, 4), 0.7 * 3 * part);
-  EXPECT_GT(result.admitted(8, 9), 0.85 * limit);
+  EXPECT_GT(result.admitted(2.5, 4), 0.7 * 3 * part_per_s);
+  EXPECT_GT(result.admitted(8, 9), 0.85 * limit_per_s);
 }
 
 TEST(FleetRun, BorrowersArePausedAcrossALeaseExpiry) {
   auto result =
       run(9, all_in_a + zone_shares_from(3, "\"1\", \"1\"") +
                  "[[faults]]\nwhat = \"freeze_balancer\"\nat = 3\nfor = 2.5\nwhich = [\"0\", \"2\"]\n");
-  EXPECT_GT(result.admitted(4.5, 5.5), 0.7 * 4 * part);  // the parts of the two paused balancers are unused
-  EXPECT_GT(result.admitted(7.5, 9), 0.85 * limit);
+  EXPECT_GT(result.admitted(4.5, 5.5),
+            0.7 * 4 * part_per_s);  // the parts of the two paused balancers are unused
+  EXPECT_GT(result.admitted(7.5, 9), 0.85 * limit_per_s);
 }
 
 // One balancer runs for 80 ms of every 200 ms, so that it receives, sends and admits late.
@@ -138,8 +139,8 @@
     text += "[[faults]]\nwhat = \"freeze_balancer\"\nat = " + std::to_string(2 + 0.2 * k) +
             "\nfor = 0.12\nwhich = [\"0\"]\n";
   auto result = run(9, text);
-  EXPECT_GT(result.admitted(4.5, 6, {1, 2, 3, 4, 5}), 0.7 * 5 * part);
-  EXPECT_GT(result.admitted(8, 9), 0.85 * limit);
+  EXPECT_GT(result.admitted(4.5, 6, {1, 2, 3, 4, 5}), 0.7 * 5 * part_per_s);
+  EXPECT_GT(result.admitted(8, 9), 0.85 * limit_per_s);
 }
 
 TEST(FleetRun, RollingRestartOfAll) {
@@ -148,7 +149,7 @@
     text += "[[faults]]\nwhat = \"restart_balancer\"\nat = " + std::to_string(3 + 0.4 * b) + "\nwhich = [\"" +
             std::to_string(b) + "\"]\n";
   auto result = run(12, text);
-  EXPECT_GT(result.admitted(10, 12), 0.85 * limit);
+  EXPECT_GT(result.admitted(10, 12), 0.85 * limit_per_s);
 }
 
 TEST(FleetRun, AllDatagramFaultsTogether) {
@@ -158,8 +159,8 @@
                         "what = \"delay\"\nshare = 0.1\nms = 1200", "what = \"garble\"\nshare = 0.1"})
     text += std::string("[[letters]]\n") + f + "\n";
   auto result = run(8, text);
-  EXPECT_GT(result.admitted(2.5, 4), 0.6 * limit);
-  EXPECT_GT(result.admitted(6, 8), 0.6 * limit);
+  EXPECT_GT(result.admitted(2.5, 4), 0.6 * limit_per_s);
+  EXPECT_GT(result.admitted(6, 8), 0.6 * limit_per_s);
 }
 
 // Four running balancers are reloaded with two new peers during a partition; one side can reach the new
@@ -173,7 +174,7 @@
               "[[faults]]\nwhat = \"reload_balancer\"\nat = 3\nwhich = [\"0-3\"]\nmembers = [\"0-5\"]\n"
               "[[faults]]\nwhat = \"kill_balancer\"\nat = 0\nfor = 3.5\nwhich = [\"4-5\"]\n",
           "members = [\"0-3\"]\n");
-  EXPECT_GT(result.admitted(8, 10), 0.85 * limit);
+  EXPECT_GT(result.admitted(8, 10), 0.85 * limit_per_s);
 }
 
 // Twelve requests a second reach each of eight servers, one of which doesn't respond for four seconds. Each
