--- a/src/testbed/html_plot.hpp
+++ b/src/testbed/html_plot.hpp
@@ -1,4 +1,4 @@
-// A line plot as SVG for the HTML report: some series over the run, its faults shaded.
+// A line plot as SVG for the HTML report: series over the time of the run, with shaded faults.
 #pragma once
 
 #include <functional>
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "testbed/figures.hpp"
+#include "testbed/run_metrics.hpp"
 
 namespace meadowgauge::testbed {
 
@@ -15,10 +15,10 @@
   std::function<double(const Slice&)> value;
 };
 
-std::string svg_plot(const Experiment& experiment, const Figures& figures, const std::string& title,
+std::string svg_plot(const Experiment& experiment, const RunMetrics& metrics, const std::string& title,
                      const std::string& unit, const std::vector<Series>& series);
 
-// Text as it may stand in HTML and in its attributes.
+// Escapes text for HTML content and attributes.
 std::string html_escaped(std::string_view text);
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/text_format.hpp
+++ b/src/testbed/text_format.hpp
@@ -4,17 +4,17 @@
 #include <cstdint>
 #include <string>
 
-#include "testbed/figures.hpp"
+#include "testbed/run_metrics.hpp"
 
 namespace meadowgauge::testbed {
 
-// As printf, up to 1,023 bytes; what is longer is cut.
+// Formats like printf; truncates to 1,023 bytes.
 [[gnu::format(printf, 1, 2)]] std::string formatted(const char* format, ...);
 
-// For `%llu`.
+// Converts a count for `%llu`.
 inline unsigned long long printable(std::uint64_t number) { return number; }
 
-// `count` as a percentage of a run's requests; 0 where there were none.
-double percent_of_requests(std::uint64_t count, const Figures& figures);
+// Returns `count` as a percentage of a run's requests; 0 without requests.
+double percent_of_requests(std::uint64_t count, const RunMetrics& metrics);
 
 }  // namespace meadowgauge::testbed
