--- a/tests/proxy/discovery/discovery_watch_renewal_test.cpp
+++ b/tests/proxy/discovery/discovery_watch_renewal_test.cpp
@@ -54,7 +54,7 @@
 TEST(DiscoveryWatchRenewal, RetryAfterDelaysTheNextCall) {
   ClientFixture fixture;
   bool full = false;
-  fixture.agent.conn = fixture.agent.at.accept(full);
+  fixture.agent.connection = fixture.agent.listener.accept(full);
   fixture.turn();
   fixture.agent.send_bytes(
       "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n");
@@ -72,7 +72,7 @@
     for (int i = 0; i < fleet; ++i) {
       ClientFixture fixture(static_cast<std::uint64_t>(i) + 1);
       fixture.watch(empty_list);
-      deadlines_ms.insert(fixture.due.next());
+      deadlines_ms.insert(fixture.due_times.next());
     }
     EXPECT_GT(deadlines_ms.size(), static_cast<std::size_t>(fleet) * 2 / 3);
     EXPECT_LE(*deadlines_ms.rbegin() - *deadlines_ms.begin(), 0.2 * 3400);
@@ -89,16 +89,16 @@
     ClientFixture fixture(7, grace), polled(7);
     for (int i = 0; i < 12; ++i) {
       for (auto* each : {&fixture, &polled}) {
-        each->advance_to(each->due.next());
+        each->advance_to(each->due_times.next());
         bool full = false;
-        each->agent.conn = each->agent.at.accept(full);
-        ASSERT_TRUE(each->agent.conn) << i;
-        each->agent.conn.close();
+        each->agent.connection = each->agent.listener.accept(full);
+        ASSERT_TRUE(each->agent.connection) << i;
+        each->agent.connection.close();
         each->turn();
       }
-      EXPECT_LE(fixture.due.next() - fixture.now_ms, grace / 4 * 1.25 + 1e-6) << i;
+      EXPECT_LE(fixture.due_times.next() - fixture.now_ms, grace / 4 * 1.25 + 1e-6) << i;
     }
-    EXPECT_GT(polled.due.next() - polled.now_ms, 1000);
+    EXPECT_GT(polled.due_times.next() - polled.now_ms, 1000);
   }
 }
 
@@ -154,7 +154,7 @@
         std::vector<transport::Fd> held;
         double back = fixture.now_ms + std::pow(4.5, static_cast<double>(seed)) * 230;
         for (; fixture.now_ms < back; fixture.advance_to(fixture.now_ms + 500)) {
-          for (bool full = false; auto fd = fixture.agent.at.accept(full);) {
+          for (bool full = false; auto fd = fixture.agent.listener.accept(full);) {
             fixture.turn();
             std::string_view text =
                 how == Fails::unavailable ? "HTTP/1.1 503 No\r\nRetry-After: 9\r\nContent-Length: 0\r\n\r\n"
