--- a/tests/e2e/shutdown_test.cpp
+++ b/tests/e2e/shutdown_test.cpp
@@ -152,6 +152,7 @@
     process.finish_configuration();
     EXPECT_EQ(process.exit_status(), 0);
     EXPECT_EQ(process.log().find("serves on"), std::string::npos);
+    EXPECT_EQ(process.log().find("serving -> draining"), std::string::npos);
   }
   StartingProcess process(discovery.address());
   process.signal(SIGHUP);
