--- a/tests/e2e/shutdown_test.cpp
+++ b/tests/e2e/shutdown_test.cpp
@@ -156,6 +156,7 @@
     const auto log = process.log();  // can be read once
     EXPECT_EQ(log.find("listening on"), std::string::npos);
     EXPECT_EQ(log.find("serves on"), std::string::npos);
+    EXPECT_EQ(log.find("serving -> draining"), std::string::npos);
   }
   StartingProcess process(discovery.address());
   process.signal(SIGHUP);
