--- a/src/proxy/downstream/connections.cpp
+++ b/src/proxy/downstream/connections.cpp
@@ -23,7 +23,7 @@
 void DownstreamConnections::ready(std::uint32_t) { accept_all(); }
 
 void DownstreamConnections::ready(Connection& c, std::uint32_t events) {
-  c.peer_closed = c.peer_closed || events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR);
+  c.peer_closed = c.peer_closed || (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
   switch (c.state) {
     case Connection::State::reading:
       read_request(c);
--- a/src/proxy/downstream/responses.cpp
+++ b/src/proxy/downstream/responses.cpp
@@ -99,7 +99,8 @@
 
 // Forwards the received part of a streamed response, as far as the client takes it.
 void DownstreamConnections::pump_response(Connection& c) {
-  bool moved = false, out_of_buffers = false;
+  bool moved = false;
+  bool out_of_buffers = false;
   for (;;) {
     auto before = c.stream.out().size();
     if (!c.stream.flush()) return close(c);
--- a/src/proxy/request/forwarder.cpp
+++ b/src/proxy/request/forwarder.cpp
@@ -1,6 +1,7 @@
 #include "proxy/request/forwarder.hpp"
 
 #include <algorithm>
+#include <array>
 #include <cstdio>
 #include <utility>
 
@@ -38,9 +39,9 @@
 }
 
 std::string retry_after_header(double ms) {
-  char text[48];
-  std::snprintf(text, sizeof text, "Retry-After: %.3f\r\n", ms / 1000);
-  return text;
+  std::array<char, 48> text{};
+  std::snprintf(text.data(), text.size(), "Retry-After: %.3f\r\n", ms / 1000);
+  return text.data();
 }
 
 }  // namespace
--- a/src/proxy/request/log.cpp
+++ b/src/proxy/request/log.cpp
@@ -1,5 +1,6 @@
 // The log lines of RequestForwarder: one line per event, with the request's id or number. Lines below the log
 // level are not formatted.
+#include <array>
 #include <cmath>
 #include <string>
 
@@ -13,8 +14,8 @@
 namespace {
 
 std::string_view outcome_name(Outcome outcome) {
-  constexpr std::string_view all[] = {"succeeded",   "error", "rejected",  "timed out",
-                                      "unreachable", "reset", "cancelled", "superseded"};
+  constexpr std::array<std::string_view, 8> all = {"succeeded",   "error", "rejected",  "timed out",
+                                                   "unreachable", "reset", "cancelled", "superseded"};
   return all[static_cast<std::size_t>(outcome)];
 }
 
--- a/src/proxy/request/table.hpp
+++ b/src/proxy/request/table.hpp
@@ -58,6 +58,7 @@
   // All parameters outlive the table.
   RequestTable(Policy& policy, transport::DueTimes& due, RequestActions& actions)
       : policy_(policy), due_(due), actions_(actions) {}
+  ~RequestTable() = default;
   RequestTable(const RequestTable&) = delete;
   RequestTable& operator=(const RequestTable&) = delete;
 
--- a/src/proxy/upstream/request.cpp
+++ b/src/proxy/upstream/request.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // Limit of queued bytes of a streamed body.
-constexpr std::size_t max_queued_bytes = 32 * 1024;
+constexpr std::size_t max_queued_bytes = std::size_t{32} * 1024;
 
 }  // namespace
 
