--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -14,16 +14,18 @@
 
 // Bounds how many requests this balancer has in flight to the first tier, from how long responses take.
 //
-// A request is admitted while the number in flight is below either of two limits:
+// A request is admitted if either holds, `in flight` being this balancer's own requests to all endpoints:
 //
-//   uncongested limit   U + b * sqrt(U)
-//   latency limit       N / r + m * b * sqrt(N)
+//   uncongested limit   in flight     <  U + bU * sqrt(U)
+//   latency limit       in flight + 1 <= N / r + m * bN * sqrt(N)
 //
-// U  requests in flight that never congest the tier: two an endpoint and tier, shared by all balancers
-// N  requests in flight at the sending of those whose responses are recent
-// r  overload ratio: recent latency over allowed latency, over the share of attempts that ended in time
-// b  burst allowance in standard deviations of a Poisson count; 0 in an overload
-// m  how much further one of many balancers may deviate while the tier has capacity
+// U   requests in flight that never congest the tier: two an endpoint and remaining tier, shared by all
+//     balancers
+// N   requests in flight at the sending of those whose responses are recent
+// r   overload ratio: recent latency / allowed latency / share of attempts that ended in time
+// bN  burst allowance in standard deviations of a Poisson count: 1.2, down to 0 as r goes from 1 to 1.8
+// bU  the same, or less where the mean in flight is already close to U
+// m   1 to 3: one of many balancers deviates more than the tier, which averages over all of them
 //
 // The second limit is Little's law: in-flight count and latency grow in proportion, so a latency of r times
 // the allowed one calls for a count smaller by r. All latencies are relative to their request class (see
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -18,9 +18,9 @@
   double decayed_at_ms = 0;       // time up to which the four have decayed
   double ejected_until_ms = 0;
   double healthy_since_ms = 0;
-  int ejections = 0;         // consecutive
-  bool on_trial = false;     // ejected before, without a success since
-  double failure_share = 0;  // by the latest report, own or another balancer's, 0 to 1
+  int ejections = 0;                  // consecutive
+  bool ejected_or_half_open = false;  // ejected, and no success since
+  double failure_share = 0;           // by the latest report, own or another balancer's, 0 to 1
 };
 
 // Written by SlowStart.
--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -105,7 +105,8 @@
 bool EndpointPicker::is_healthy_for(const Request& request, const Endpoint& endpoint, double now_ms) const {
   if (!parts_.outliers.is_healthy(endpoint, now_ms)) return false;
   const auto& outlier = endpoint.outlier;
-  bool in_recent_trial = outlier.on_trial && now_ms < outlier.ejected_until_ms + trial_repeatable_only_ms;
+  bool in_recent_trial =
+      outlier.ejected_or_half_open && now_ms < outlier.ejected_until_ms + trial_repeatable_only_ms;
   return !(in_recent_trial && must_avoid_trials(request));
 }
 
--- a/src/policy/hedging_policy.hpp
+++ b/src/policy/hedging_policy.hpp
@@ -25,9 +25,10 @@
 
 // A hedged request is sent when all of these hold, in this order:
 //
-//  1. may_hedge()     hedging is enabled, this is the first attempt, its body can be sent twice, and its
+//  1. may_hedge()     hedging is enabled, one attempt was made so far, the body can be sent twice, and the
 //                     class may be repeated
-//  2. delay_ms()      so much time has passed since the newest attempt's pick
+//  2. delay_ms()      so much time has passed since that attempt's pick: 1.5 times the geometric mean latency
+//                     of a short class, else 1.5 times the 95th percentile, 400 ms at least
 //  3. should_hedge()  its class is short, or the endpoint is ejected or unresponsive by now; the throttle
 //                     drops nothing and the retry budget is not spent
 //  4. EndpointPicker  finds another endpoint that the rules permit
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -47,7 +47,7 @@
 
 EjectionState OutlierDetector::state(const Endpoint& endpoint, double now_ms) {
   const auto& outlier = endpoint.outlier;
-  if (!outlier.on_trial) return EjectionState::healthy;
+  if (!outlier.ejected_or_half_open) return EjectionState::healthy;
   return outlier.ejected_until_ms > now_ms ? EjectionState::ejected : EjectionState::half_open;
 }
 
@@ -84,8 +84,8 @@
 
 void OutlierDetector::record_success(OutlierState& outlier, double now_ms) {
   ++outlier.successes;
-  if (outlier.on_trial) {
-    outlier.on_trial = false;
+  if (outlier.ejected_or_half_open) {
+    outlier.ejected_or_half_open = false;
     outlier.successes = 1;
     outlier.failures = 0;
     outlier.healthy_since_ms = now_ms;
@@ -99,7 +99,7 @@
   double peers_share = peers_failure_share(index, now_ms);
   double share = outlier.failures / (outlier.failures + outlier.successes);
   bool is_outlier = share > failure_margin_share + peers_failure_multiplier * peers_share;
-  if (outlier.ejected_until_ms <= now_ms && (outlier.on_trial || is_outlier))
+  if (outlier.ejected_until_ms <= now_ms && (outlier.ejected_or_half_open || is_outlier))
     eject(index, share, peers_share, now_ms);
 }
 
@@ -110,7 +110,7 @@
   double spread_ratio = min_ejection_spread_ratio + ejection_spread_ratio * random_.uniform();
   outlier.ejected_until_ms = now_ms + length_ms * spread_ratio;
   outlier.ejections = std::min(outlier.ejections + 1, max_ejection_count);
-  outlier.on_trial = true;
+  outlier.ejected_or_half_open = true;
   outlier.successes = 0;
   outlier.failures = 0;
   outlier.log_latency_excess = 0;
@@ -196,7 +196,7 @@
 
 void OutlierDetector::restore_ejection(Endpoint& endpoint, double until_ms, double now_ms) {
   endpoint.outlier.ejected_until_ms = std::min(until_ms, now_ms + max_ejection_ms);
-  endpoint.outlier.on_trial = true;
+  endpoint.outlier.ejected_or_half_open = true;
   endpoint.outlier.ejections = 1;
 }
 
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -15,7 +15,7 @@
 // Whether an endpoint takes part in the picks.
 enum class EjectionState : std::uint8_t {
   healthy,
-  ejected,   // no attempt goes there until its ejection has ended
+  ejected,   // not picked until the ejection's time is over, unless the panic threshold ignores health
   half_open  // one attempt at a time goes there until one succeeds
 };
 
@@ -26,7 +26,10 @@
 // over outcomes that decay in five seconds; a failed trial ejects again at once. The ejection lasts 1 s,
 // doubled for each relapse up to 8 s, spread by 20% either way so that balancers do not all try it together.
 //
-//   healthy -> ejected -> half_open -> healthy (success) or ejected (failure)
+//   healthy -> ejected (threshold) -> half_open (time over) -> healthy (success) or ejected (failure)
+//
+// A success of an earlier attempt ends an ejection before its time. A new process at the endpoint, or the end
+// of a manual drain, starts it as healthy.
 //
 // An endpoint is unresponsive when it has requests in flight, others have answered meanwhile, and nothing was
 // received from it for a multiple of the 95th percentile of the latencies: 1 + 3 / in flight. The more
--- a/src/policy/policy_core.cpp
+++ b/src/policy/policy_core.cpp
@@ -234,11 +234,11 @@
                                       double now_ms) {
   auto& endpoint = endpoints_[attempt.endpoint];
   bool has_succeeded = attempt.outcome == Outcome::succeeded;
-  bool was_outlier = endpoint.outlier.on_trial;
+  bool was_outlier = endpoint.outlier.ejected_or_half_open;
   if (attempt.outcome != Outcome::rejected)
     outliers_.record_outcome(attempt.endpoint, !has_succeeded, now_ms);
   if (has_succeeded) outliers_.record_relative_latency(endpoint, request_class, took_ms);
-  bool is_outlier = was_outlier || endpoint.outlier.on_trial;
+  bool is_outlier = was_outlier || endpoint.outlier.ejected_or_half_open;
   if (has_succeeded || !is_outlier) throttle_.record(has_succeeded, now_ms);
 }
 
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -132,7 +132,7 @@
   auto setup = read_configuration(options, logger);
   setup.leave_ms = options.shutdown_delay_ms;
   if (Signals::termination_pending()) {
-    logger(Level::info, "ending: it has not served yet");
+    logger(Level::info, "graceful shutdown: serving -> finished: it has not served yet");
     return 0;
   }
   apply_descriptor_limit(setup);
