--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -85,7 +85,7 @@
   Policy b(s, 1, 0);
   auto events = b.tick(0).events;
   ASSERT_EQ(events.size(), 1u);
-  const auto* invalid = std::get_if<InvalidSetting>(&events[0]);
+  const auto* invalid = std::get_if<InvalidSetting>(&events.front());
   ASSERT_NE(invalid, nullptr);
   EXPECT_EQ(invalid->name, "rules.cold_share");
   EXPECT_EQ(invalid->value, "cold");
