--- a/src/policy/admission_throttle.cpp
+++ b/src/policy/admission_throttle.cpp
@@ -5,13 +5,13 @@
 namespace meadowgauge {
 namespace {
 
-// The paper's "sre" preset.
+// The "sre" preset of the paper.
 constexpr int bucket_count = 40;
 constexpr double bucket_ms = 250;
-constexpr double max_k_ratio = 1.5;         // calls per accepted call that are allowed
-constexpr double min_k_ratio = 1.1;         // the same at the end of a window of failures
-constexpr double protection_requests = 5;   // calls in the window that never lead to a drop
-constexpr double trial_interval_ms = 1000;  // one request is admitted this often in any case
+constexpr double max_accepts_multiplier = 1.5;  // requests allowed per accepted request
+constexpr double min_accepts_multiplier = 1.1;  // lower bound, reached when the whole window has failed
+constexpr double protection_requests = 5;       // requests in the window that never cause a drop
+constexpr double trial_interval_ms = 1000;      // one request is always admitted per interval
 
 }  // namespace
 
@@ -28,8 +28,11 @@
 
 double AdmissionThrottle::drop_probability(double now_ms) const {
   auto sums = window_.sums(now_ms);
-  double k = std::max(max_k_ratio - (max_k_ratio - min_k_ratio) * sums.failing / bucket_count, min_k_ratio);
-  double excess = sums.total - protection_requests - k * sums.accepts;
+  double accepts_multiplier =
+      std::max(max_accepts_multiplier -
+                   (max_accepts_multiplier - min_accepts_multiplier) * sums.failing / bucket_count,
+               min_accepts_multiplier);
+  double excess = sums.total - protection_requests - accepts_multiplier * sums.accepts;
   return excess / (sums.total + 1) * (bucket_count - sums.working) / bucket_count;
 }
 
--- a/src/policy/admission_throttle.hpp
+++ b/src/policy/admission_throttle.hpp
@@ -8,25 +8,29 @@
 
 namespace meadowgauge {
 
-// Client-side throttling of the paper ("moonward", Breaker): over a sliding window of ten seconds,
+// Client-side throttling after the "Breaker" of the "moonward" paper. Over a sliding window of ten seconds:
 //
 //   drop probability = (total - protection - k * accepted) / (total + 1) * (buckets - working) / buckets
 //   k                = max(1.5 - (1.5 - 1.1) * failing / buckets, 1.1)
 //
-// where `working` and `failing` count the latest buckets without a failure and without a success. Nothing is
-// dropped at 0 or below. A drop counts in `total`, so that a throttled backend still reads as busy. After a
-// second without an admitted request the next one is admitted in any case.
+//   k         requests allowed per accepted request
+//   working   number of newest buckets with accepted requests and no failure; empty buckets are skipped
+//   failing   number of newest buckets with failures and no accepted request; empty buckets are skipped
+//
+// No request is dropped at a probability of 0 or below. A dropped request counts in `total`, so that a
+// throttled backend still looks busy. After a second without an admitted request the next request is always
+// admitted, to probe the backend.
 class AdmissionThrottle {
  public:
   // `random` must outlive the throttle.
   AdmissionThrottle(Random& random, double now_ms);
 
-  // The tier has accepted an attempt, or has failed it.
+  // Records the outcome of an attempt: accepted by the tier, or failed.
   void record(bool accepted, double now_ms);
-  // The share of requests to drop; 0 or below: none.
+  // Returns the share of requests to drop; a value of 0 or below means that none is dropped.
   [[nodiscard]] double drop_probability(double now_ms) const;
-  // Decides whether a request that arrives now is dropped, and counts it if so. A request over its tenant's
-  // quota is drawn for twice.
+  // Decides whether a request that arrives now is dropped, and counts a dropped request in the window. For a
+  // request over its tenant's quota the random draw is made twice, which makes a drop more likely.
   bool should_drop(bool over_quota, double now_ms);
 
  private:
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -13,39 +13,38 @@
 constexpr double max_baseline_multiplier = 1.35;  // of the baseline latency
 
 // Baseline latency.
-constexpr double baseline_drift_ms = 60000;        // time constant with which it follows a slower tier
-constexpr double max_drift_rejected_share = 0.05;  // above this share rejected it does not rise
+constexpr double baseline_drift_ms = 60000;        // time constant of the rise when the tier gets slower
+constexpr double max_drift_rejected_share = 0.05;  // the baseline does not rise above this share rejected
 
 // Moving averages.
-constexpr double baseline_gain = 0.008;  // of one response, for what should not follow the load
-constexpr double recent_gain = 0.04;     // of one response, for what should follow the load
-constexpr int min_tier_responses = 20;   // responses before what is known of the tier counts
+constexpr double baseline_gain = 0.008;  // weight of one response, for values that should not follow the load
+constexpr double recent_gain = 0.04;     // weight of one response, for values that should follow the load
+constexpr int min_tier_responses = 20;   // responses before the tier's learned values are used
 constexpr int min_class_responses = 5;   // responses before a class takes part in renormalization
 
 // Burst allowance.
 constexpr double burst_multiplier = 1.2;           // standard deviations of a Poisson count
-constexpr double burst_overload_span_ratio = 0.8;  // overload ratio above 1 at which the allowance is used up
-constexpr double burst_mean_from_ratio =
-    0.75;  // mean in flight over U at which the allowance begins to shrink
-constexpr double burst_mean_span_ratio = 0.5;       // and the width over which it shrinks to nothing
-constexpr double busy_utilization_ratio = 0.8;      // above it one of many balancers has the plain allowance
-constexpr double max_own_deviation_multiplier = 3;  // of the plain allowance, for one of many balancers
-constexpr double few_replicas_count = 3;  // balancers up to which a balancer's own burst is the tier's
+constexpr double burst_overload_span_ratio = 0.8;  // overload ratio above 1 at which the allowance reaches 0
+constexpr double burst_mean_start_ratio = 0.75;  // mean in flight / U at which the allowance begins to shrink
+constexpr double burst_mean_span_ratio = 0.5;    // further increase of that ratio that shrinks it to 0
+constexpr double busy_utilization_ratio = 0.8;   // above it the allowance is not multiplied
+constexpr double max_own_deviation_multiplier = 3;  // of the burst allowance, for one of many balancers
+constexpr double few_replicas = 3;  // up to this many balancers, a burst at one is a burst of the tier
 
 // Uncongested number in flight.
 constexpr double uncongested_requests = 2;       // requests per endpoint and remaining tier, all balancers
-constexpr double spare_utilization_ratio = 0.6;  // below it the number grows
-constexpr double max_spare_capacity_multiplier = 2;  // up to this
+constexpr double spare_utilization_ratio = 0.6;  // below it U grows
+constexpr double max_spare_capacity_multiplier = 2;  // maximum growth of U
 
-constexpr double max_report_queue_share = 0.5;  // of the latency objective, as reports are old and incomplete
-constexpr double min_timely_share = 0.05;       // lower bound of the share
+constexpr double max_report_queue_share = 0.5;  // of the latency objective; reports are old and incomplete
+constexpr double min_timely_share = 0.05;       // lower bound of the share of attempts that did not time out
 constexpr double min_latency_ms = 0.01;         // lower bound of a latency
 
-// Capacity that requests give up while capacity is short.
-constexpr double over_quota_cut_share = 0.5;     // beyond the tenant's quota and share
-constexpr double low_weight_cut_share = 0.25;    // of a class with less weight for its latency than another
-constexpr double low_weight_margin_ratio = 1.2;  // another class must have more by this ratio
-constexpr double cut_rejected_share = 0.2;       // cuts begin at this share rejected and are full at twice it
+// Reductions of the limits for some requests during a capacity shortage.
+constexpr double over_quota_cut_share = 0.5;   // for a request beyond its tenant's quota and share
+constexpr double low_weight_cut_share = 0.25;  // for a class with less weight per latency than another class
+constexpr double low_weight_margin_ratio = 1.2;  // the other class must have more by this ratio
+constexpr double cut_rejected_share = 0.2;  // reductions begin at this share rejected, complete at twice it
 
 }  // namespace
 
@@ -59,15 +58,15 @@
   return settings_.stage == 0 && request.attempt_count == 0;
 }
 
-bool ConcurrencyLimiter::has_count_signal(double ready_endpoints) const {
+bool ConcurrencyLimiter::can_limit_by_in_flight(double ready_endpoints) const {
   if (load_.uses_probes()) return false;
   if (!load_.uses_load_reports()) return true;
   return uncongested_requests * ready_endpoints * remaining_tiers_ >= settings_.replicas;
 }
 
-// Whether another class has clearly more priority weight for its latency. What is rejected anyway should be
-// what weighs least for the time it takes.
-bool ConcurrencyLimiter::yields_capacity(const Request& request) const {
+// Whether another class has clearly more priority weight per latency than the request's class. In a shortage
+// the requests with the least weight for the time they take should be rejected first.
+bool ConcurrencyLimiter::has_low_weight_for_latency(const Request& request) const {
   auto weight_for_latency = [this](const RequestClass& request_class) {
     double latency =
         request_class.response_count > 0 ? request_class.relative_latency : mean_relative_latency_;
@@ -78,15 +77,15 @@
                              [&](const auto& other) { return weight_for_latency(other) > margin; });
 }
 
-// The share of the limits that holds for this request: 1, less while capacity is short for requests over
-// their tenant's quota and for classes that yield capacity.
+// The factor that lowers the limits for this request: 1 without a capacity shortage; less during a shortage
+// for requests over their tenant's quota and for classes of low priority weight per latency.
 //
-//   shortage = (rejected_share - 0.2) / 0.2, within 0 and 1
+//   shortage = (rejected_share - 0.2) / 0.2, clamped to 0..1
 //   share    = 1 - shortage * (over-quota cut + low-weight cut)
 double ConcurrencyLimiter::capacity_share(const Request& request) const {
   double shortage = std::clamp((rejected_share_ - cut_rejected_share) / cut_rejected_share, 0.0, 1.0);
   double quota_cut = request.over_quota ? over_quota_cut_share : 0;
-  return 1 - shortage * (quota_cut + (yields_capacity(request) ? low_weight_cut_share : 0));
+  return 1 - shortage * (quota_cut + (has_low_weight_for_latency(request) ? low_weight_cut_share : 0));
 }
 
 void ConcurrencyLimiter::record_arrival() {
@@ -94,8 +93,9 @@
   learned_.mean_in_flight += gain * (endpoints_.total_in_flight() - learned_.mean_in_flight);
 }
 
-// U, the number in flight that never congests the tier. A request occupies its endpoint while the tiers below
-// work on it, so U grows with the tiers that remain. Spare utilization raises it up to twofold.
+// U, the number of requests in flight that never congests the tier. A request occupies its endpoint while the
+// deeper tiers work on it, so U is proportional to the number of remaining tiers. A reported utilization
+// below 0.6 raises U by up to a factor of two.
 double ConcurrencyLimiter::uncongested_in_flight(double ready_endpoints, double capacity_share) const {
   double in_flight =
       ready_endpoints * capacity_share * uncongested_requests * remaining_tiers_ / settings_.replicas;
@@ -106,41 +106,45 @@
   return in_flight;
 }
 
-// Latency up to which the tier is not overloaded: 1.35 baselines, at most 0.75 of the mean latency objective.
-// One bound holds for all classes: against its own objective a short class would look late while the others
-// are as usual. A smaller capacity share lowers the delay above the baseline, by its square; a cut of the
-// in-flight number would be permanent, since that number follows what is admitted.
+// Latency in ms up to which the tier is not overloaded:
+//
+//   min(0.75 * mean latency objective, (1 + 0.35 * capacity_share^2) * baseline latency)
+//
+// The bound is the same for all classes: measured against its own objective, a short class would look late
+// under normal load. The capacity share lowers the allowed latency rather than the in-flight number: lowering
+// the number would be permanent, since N follows the number of admitted requests.
 double ConcurrencyLimiter::allowed_latency_ms(double capacity_share) const {
   double delay_multiplier = 1 + (max_baseline_multiplier - 1) * capacity_share * capacity_share;
   return std::min(max_objective_share * recent_objective_ms_, delay_multiplier * learned_.baseline_ms);
 }
 
-// r: recent over allowed latency. Timeouts raise it, since their latency is never seen. 0 without a baseline.
+// r: recent latency / allowed latency / share of attempts that did not time out. The share accounts for the
+// attempts that timed out, whose latency is never measured. Returns 0 while the baseline is unknown.
 double ConcurrencyLimiter::overload_ratio(double capacity_share) const {
   if (!(learned_.baseline_ms > 0)) return 0;
   return learned_.recent_ms / allowed_latency_ms(capacity_share) / learned_.timely_share;
 }
 
-// The burst allowance left by the mean number in flight, in standard deviations. Small balancers' bursts add
-// up, so a mean near U leaves none.
+// bU: the burst allowance at the current mean number in flight, in standard deviations. It falls from 1.2 to
+// 0 as the mean goes from 0.75 to 1.25 times U, since the bursts of many small balancers add up.
 double ConcurrencyLimiter::burst_multiplier_for_mean(double uncongested_in_flight) const {
   double mean_ratio = learned_.mean_in_flight / uncongested_in_flight;
-  double used = std::clamp((mean_ratio - burst_mean_from_ratio) / burst_mean_span_ratio, 0.0, 1.0);
+  double used = std::clamp((mean_ratio - burst_mean_start_ratio) / burst_mean_span_ratio, 0.0, 1.0);
   return burst_multiplier * (1 - used);
 }
 
-// m: how many times the burst allowance one of many balancers may use while the tier has capacity. Its own
-// deviations are larger than the tier's by sqrt(replicas), which averages them out.
+// m: multiplier of the burst allowance for one of many balancers while the tier has spare capacity. Relative
+// to its mean, one balancer's load deviates by a factor of sqrt(replicas) more than the sum of all balancers.
 double ConcurrencyLimiter::own_deviation_multiplier() const {
   if (!(learned_.utilization > 0)) return 1;
-  double by_replicas = std::sqrt(std::max(1.0, settings_.replicas / few_replicas_count));
+  double by_replicas = std::sqrt(std::max(1.0, settings_.replicas / few_replicas));
   double by_utilization = busy_utilization_ratio / learned_.utilization;
   return std::clamp(by_utilization, 1.0, std::min(by_replicas, max_own_deviation_multiplier));
 }
 
-// Rejects a request when the number in flight exceeds both limits of the class comment. Until the baseline is
-// known, only the uncongested limit applies: a start into an overload must not learn the overload's
-// latencies.
+// Returns true when the number in flight exceeds both limits of the class comment. While the baseline is
+// unknown only the uncongested limit applies, so that a process started during an overload does not learn the
+// overload's latencies as the baseline.
 bool ConcurrencyLimiter::is_tier_full(const Request& request, double ready_endpoints) {
   record_arrival();
   double in_flight = endpoints_.total_in_flight();
@@ -182,7 +186,8 @@
 
 void ConcurrencyLimiter::record_duration(const Attempt& attempt, RequestClass& request_class, double took_ms,
                                          double now_ms) {
-  // Within one latency objective of the start only short requests have completed: their mean is biased low.
+  // Within one latency objective after the start only short requests have completed, which biases the mean
+  // low.
   if (now_ms - started_at_ms_ <= request_class.settings.target_ms) return;
   double slow_gain = std::max(baseline_gain, 1.0 / ++response_count_);
   double fast_gain = std::max(recent_gain, slow_gain);
@@ -194,9 +199,9 @@
   blend(learned_.recent_in_flight, attempt.in_flight_at_send, fast_gain);
 }
 
-// Moves the class's latency relative to the tier's towards this response's; returns the new value. A slowdown
-// that all classes share must not enter it, or an overload would become usual: renormalization takes the
-// common part out again.
+// Moves the class's relative latency (class latency / tier latency) towards that of this response; returns
+// the new value. Renormalization removes a slowdown that all classes share, so that an overload does not
+// become the normal latency.
 double ConcurrencyLimiter::update_relative_latency(RequestClass& request_class, double took_ms) {
   if (learned_.recent_ms == 0 || classes_.all.size() < 2) return request_class.relative_latency;
   double ratio = std::max(took_ms, min_latency_ms) / learned_.recent_ms / request_class.relative_latency;
@@ -207,7 +212,8 @@
   return request_class.relative_latency;
 }
 
-// Divides all known classes by the geometric mean of a change by `factor` of one of them.
+// Divides the relative latency of every known class by factor^(1 / number of known classes), so that their
+// geometric mean stays the same after one of them was multiplied by `factor`.
 void ConcurrencyLimiter::renormalize_relative_latencies(double factor) {
   double known_classes = 0;
   for (const auto& request_class : classes_.all)
@@ -221,8 +227,8 @@
   blend(learned_.utilization, utilization, recent_gain);
 }
 
-// The baseline is the smallest mean latency so far. It drifts up towards the mean while hardly anything is
-// rejected, and stays where it is otherwise, so that an overload does not become the baseline.
+// The baseline follows a falling mean latency at once. It drifts up towards a higher mean only while less
+// than 5% of the requests are rejected, so that an overload does not become the baseline.
 void ConcurrencyLimiter::tick(double interval_ms) {
   if (!has_learned_tier()) return;
   auto& learned = learned_;
--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -12,35 +12,37 @@
 
 namespace meadowgauge {
 
-// Bounds how many requests this balancer has in flight to the first tier, from how long responses take.
+// Limits how many requests this balancer has in flight to the first tier, by the latency of responses.
 //
-// A request is admitted if either holds, `in flight` being this balancer's own requests to all endpoints:
+// A request is admitted if either condition holds, where `in flight` is the number of this balancer's own
+// requests to all endpoints:
 //
 //   uncongested limit   in flight     <  U + bU * sqrt(U)
 //   latency limit       in flight + 1 <= N / r + m * bN * sqrt(N)
 //
-// U   requests in flight that never congest the tier: two an endpoint and remaining tier, shared by all
-//     balancers
-// N   requests in flight at the sending of those whose responses are recent
-// r   overload ratio: recent latency / allowed latency / share of attempts that ended in time
+// U   this balancer's share of the requests in flight that never congest the tier: two per endpoint and
+//     remaining tier, divided among all balancers
+// N   moving average of the requests in flight when the recently answered requests were sent
+// r   overload ratio: recent latency / allowed latency / share of attempts that did not time out
 // bN  burst allowance in standard deviations of a Poisson count: 1.2, down to 0 as r goes from 1 to 1.8
-// bU  the same, or less where the mean in flight is already close to U
-// m   1 to 3: one of many balancers deviates more than the tier, which averages over all of them
+// bU  the same, reduced when the mean number in flight is close to U
+// m   1 to 3: the load of one of many balancers fluctuates more than the tier's load, which is their sum
 //
-// The second limit is Little's law: in-flight count and latency grow in proportion, so a latency of r times
-// the allowed one calls for a count smaller by r. All latencies are relative to their request class (see
-// RequestClass::relative_latency), so that a changed mix of classes is not mistaken for a slower tier.
+// The second limit follows from Little's law: the in-flight count and the latency grow in proportion, so a
+// latency of r times the allowed latency requires dividing the count by r. All latencies are divided by the
+// relative latency of their request class (RequestClass::relative_latency), so that a changed mix of classes
+// is not mistaken for a slower tier.
 class ConcurrencyLimiter {
  public:
-  // What a successor process can go on with. Latencies are divided by their class's relative latency.
+  // State handed over to a successor process. Latencies are divided by their class's relative latency.
   struct Learned {
     double mean_ms = 0;
-    double baseline_ms = 0;  // latency without overload; 0: not known yet
+    double baseline_ms = 0;  // latency without overload; 0: unknown
     double recent_ms = 0;
-    double recent_in_flight = 0;  // in flight at the sending of the requests behind `recent_ms`
+    double recent_in_flight = 0;  // in flight when the requests of `recent_ms` were sent
     double mean_in_flight = 0;
     double timely_share = 1;  // share of attempts that did not time out
-    double utilization = 0;   // as endpoints report it, 0 to 1; 0: not reported
+    double utilization = 0;   // reported by endpoints, 0 to 1; 0: not reported
   };
 
   // All arguments must outlive the limiter.
@@ -54,33 +56,35 @@
         started_at_ms_(now_ms),
         remaining_tiers_(settings.stage_count - settings.stage) {}
 
-  // Only first attempts at the first tier are limited: a deeper tier would discard work already done.
+  // Whether the request is subject to the limit. Only first attempts at the first tier are: a rejection in a
+  // deeper tier would discard work already done.
   [[nodiscard]] bool applies_to(const Request& request) const;
-  // Whether the number in flight carries a signal, given so many ready endpoints. It carries none where a
-  // balancer's part is under one request; the picked endpoint's load report or probe then decides.
-  [[nodiscard]] bool has_count_signal(double ready_endpoints) const;
+  // Whether the number in flight can decide on admission, given the number of ready endpoints. It cannot
+  // where a balancer's share of U is under one request; the load report or probe of the picked endpoint then
+  // decides.
+  [[nodiscard]] bool can_limit_by_in_flight(double ready_endpoints) const;
 
-  // Whether one more request is too much for the tier. Counts the request as an arrival.
+  // Whether the tier is too loaded for one more request. Counts the request as an arrival.
   bool is_tier_full(const Request& request, double ready_endpoints);
-  // Whether one more is too much for this endpoint, by its latest load report or its last probe.
+  // Whether the endpoint is too loaded for one more request, by its latest load report or its last probe.
   [[nodiscard]] bool is_full_by_report(const Request& request, const Endpoint& endpoint, double now_ms) const;
   [[nodiscard]] bool is_full_by_probe(const Request& request, const Endpoint& endpoint, double now_ms) const;
 
-  // One of the three functions above has rejected a request, or has let it pass.
+  // Records whether one of the three functions above has rejected a request.
   void record_decision(bool rejected);
-  // An attempt has succeeded (`in_time`) or timed out.
+  // Records whether an attempt has succeeded (`in_time`) or timed out.
   void record_timely(bool in_time);
-  // An attempt has succeeded after `took_ms`. Changes the class's relative latency.
+  // Records the latency of a successful attempt. Updates the class's relative latency.
   void record_duration(const Attempt& attempt, RequestClass& request_class, double took_ms, double now_ms);
-  // A response has reported its endpoint's utilization, 0 to 1.
+  // Records the utilization, 0 to 1, that a response reports of its endpoint.
   void record_utilization(double utilization);
-  // Moves the baseline. To be called every `interval_ms`.
+  // Updates the baseline latency. Must be called every `interval_ms`.
   void tick(double interval_ms);
 
-  // Moving share of requests that were rejected, 0 to 1.
+  // Moving average of the share of requests rejected, 0 to 1.
   [[nodiscard]] double rejected_share() const { return rejected_share_; }
   [[nodiscard]] double mean_relative_latency() const { return mean_relative_latency_; }
-  // Whether enough responses have been seen, of the tier or of a class, to rely on what they taught.
+  // Whether enough responses of the tier, or of a class, have been seen to rely on the learned values.
   [[nodiscard]] bool has_learned_tier() const;
   [[nodiscard]] static bool has_learned(const RequestClass& request_class);
   [[nodiscard]] bool has_any_sample() const { return response_count_ > 0; }
@@ -88,14 +92,14 @@
   [[nodiscard]] const Learned& learned() const { return learned_; }
   void restore(const Learned& learned);
 
-  // Requests in flight per endpoint, of all balancers together, that do not congest this balancer's tier.
+  // Requests in flight per endpoint, summed over all balancers, that do not congest this balancer's tier.
   static double uncongested_per_endpoint(const PolicySettings& settings);
-  // Reported utilization below which a tier has spare capacity, 0 to 1.
+  // Reported utilization, 0 to 1, below which a tier has spare capacity.
   static double spare_utilization();
 
  private:
   [[nodiscard]] double capacity_share(const Request& request) const;
-  [[nodiscard]] bool yields_capacity(const Request& request) const;
+  [[nodiscard]] bool has_low_weight_for_latency(const Request& request) const;
   void record_arrival();
   [[nodiscard]] double uncongested_in_flight(double ready_endpoints, double capacity_share) const;
   [[nodiscard]] double allowed_latency_ms(double capacity_share) const;
@@ -111,9 +115,9 @@
   const LoadEstimator& load_;
   const SlowStart& slow_start_;
   double started_at_ms_;
-  double remaining_tiers_;  // from this one to the last
+  double remaining_tiers_;  // number of tiers from this one to the last
   Learned learned_;
-  double recent_objective_ms_ = 0;  // mean latency objective of the responses behind recent_ms
+  double recent_objective_ms_ = 0;  // mean latency objective of the responses in recent_ms
   double mean_relative_latency_ = 1;
   double rejected_share_ = 0;
   std::int64_t arrival_count_ = 0;
--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -5,17 +5,17 @@
 namespace meadowgauge {
 namespace {
 
-constexpr double panic_threshold_share = 0.5;      // of the ready endpoints healthy; below it all are used
-constexpr double trial_repeatable_only_ms = 4000;  // after an ejection, only repeatable requests try it
+constexpr double panic_threshold_share = 0.5;      // below this share of healthy ready endpoints all are used
+constexpr double trial_repeatable_only_ms = 4000;  // after an ejection only repeatable requests are sent
 constexpr double undrained_repeatable_only_ms = 2000;  // the same after a manual drain
-constexpr double max_idle_requests = 0.5;          // own requests in flight below which an endpoint is idle
-constexpr double remote_tie_break_requests = 0.1;  // load added to other zones, so that the own one wins ties
+constexpr double max_idle_requests = 0.5;          // an endpoint with fewer requests of this balancer is idle
+constexpr double remote_tie_break_requests = 0.1;  // load added to other zones: the local zone wins ties
 
-// Own requests in flight. An endpoint without an outcome yet counts as busy as the others, or a new one would
-// attract every pick.
+// This balancer's requests in flight to the endpoint. An endpoint without an outcome counts as at least as
+// busy as the mean, since a new endpoint would attract every pick otherwise.
 double assumed_in_flight(const Endpoint& endpoint, double mean_in_flight) {
-  double own = endpoint.in_flight;
-  return endpoint.awaiting_first_outcome ? std::max(own, mean_in_flight) : own;
+  double own_in_flight = endpoint.in_flight;
+  return endpoint.awaiting_first_outcome ? std::max(own_in_flight, mean_in_flight) : own_in_flight;
 }
 
 }  // namespace
@@ -30,11 +30,12 @@
   auto& limiter = parts_.limiter;
   auto tier = gather_healthy(request, now_ms);
   bool is_limited = limiter.applies_to(request);
-  if (is_limited && limiter.has_count_signal(tier.ready) &&
-      is_rejected(limiter.is_tier_full(request, tier.ready)))
+  if (is_limited && limiter.can_limit_by_in_flight(tier.ready) &&
+      reject_if_full(limiter.is_tier_full(request, tier.ready)))
     return no_endpoint;
-  // A shared fault makes all look unhealthy; ejecting endpoints would then only empty the tier. An endpoint
-  // that a rule excludes is not unhealthy: with most endpoints new, quick failers would be used again.
+  // Panic threshold: a shared fault makes all endpoints look unhealthy, and ejecting them would only empty
+  // the tier. Endpoints excluded by a rule do not count as unhealthy: with most endpoints new, the threshold
+  // would bring endpoints that fail quickly back into use.
   double untried = tier.ready - request.attempt_count;
   if (candidates_.empty() || tier.unhealthy > (1 - panic_threshold_share) * untried)
     gather_regardless_of_health(request, tier.ready, now_ms);
@@ -44,42 +45,45 @@
   if (parts_.affinity.applies_to(request)) {
     EndpointIndex index = pick_by_affinity(request, now_ms);
     bool is_full = limiter.is_full_by_report(request, parts_.endpoints[index], now_ms);
-    return admit_unless(is_full, is_limited, index);
+    return admit_unless_full(is_full, is_limited, index);
   }
   EndpointIndex lowest = parts_.load.uses_probes() ? pick_lowest_probed_load(now_ms) : no_endpoint;
   if (lowest != no_endpoint) {
     bool is_full = limiter.is_full_by_probe(request, parts_.endpoints[lowest], now_ms);
-    return admit_unless(is_full, is_limited, lowest);
+    return admit_unless_full(is_full, is_limited, lowest);
   }
   parts_.locality.restrict_to_local(candidates_);
-  return pick_idle_or_lesser(tier.mean_in_flight, now_ms);
+  return pick_idle_or_less_loaded(tier.mean_in_flight, now_ms);
 }
 
-EndpointIndex EndpointPicker::admit_unless(bool is_full, bool is_limited, EndpointIndex index) {
-  return is_limited && is_rejected(is_full) ? no_endpoint : index;
+// Returns `no_endpoint` if the endpoint is full and the request is subject to the limit, else the endpoint.
+EndpointIndex EndpointPicker::admit_unless_full(bool is_full, bool is_limited, EndpointIndex index) {
+  return is_limited && reject_if_full(is_full) ? no_endpoint : index;
 }
 
-bool EndpointPicker::is_rejected(bool is_full) {
+// Reports the decision to the limiter. On a rejection, stores the reason unless no endpoint was a candidate
+// anyway. Returns `is_full`.
+bool EndpointPicker::reject_if_full(bool is_full) {
   parts_.limiter.record_decision(is_full);
   if (is_full && !candidates_.empty()) rejection_reason_ = RejectionReason::concurrency_limit;
   return is_full;
 }
 
-// Collects the endpoints that this request may go to; on the way, slow start's budgets are brought up to
-// date.
+// Collects the candidates for this request: endpoints that are healthy, permitted and not yet tried. Also
+// refills the slow-start budgets.
 EndpointPicker::TierCounts EndpointPicker::gather_healthy(const Request& request, double now_ms) {
   candidates_.clear();
   parts_.slow_start.update_any_warmed_up(now_ms);
   TierCounts tier;
   double sum_in_flight = 0;
-  int with_outcome = 0;
+  int endpoints_with_outcome = 0;
   for (EndpointIndex index : parts_.endpoints.listed()) {
     auto& endpoint = parts_.endpoints[index];
     if (!endpoint.is_available()) continue;
     ++tier.ready;
     if (!endpoint.awaiting_first_outcome) {
       sum_in_flight += endpoint.in_flight;
-      ++with_outcome;
+      ++endpoints_with_outcome;
     }
     parts_.slow_start.refill(endpoint, now_ms);
     if (has_tried(request, index)) continue;
@@ -89,11 +93,12 @@
       candidates_.push_back(index);
     }
   }
-  if (with_outcome > 0) tier.mean_in_flight = sum_in_flight / with_outcome;
+  if (endpoints_with_outcome > 0) tier.mean_in_flight = sum_in_flight / endpoints_with_outcome;
   return tier;
 }
 
-// The panic threshold's candidates. An endpoint that was tried before comes again only where it is alone.
+// Collects the candidates below the panic threshold. An endpoint that was tried before is a candidate only if
+// it is the only ready endpoint.
 void EndpointPicker::gather_regardless_of_health(const Request& request, int ready, double now_ms) {
   candidates_.clear();
   for (EndpointIndex index : parts_.endpoints.listed())
@@ -101,8 +106,8 @@
       candidates_.push_back(index);
 }
 
-// Whether the endpoint looks healthy enough for this request: not ejected, unresponsive or reported to fail,
-// and not in a recent half-open trial unless the request may run again.
+// Whether the endpoint is healthy enough for this request: not ejected, not unresponsive, not reported as
+// failing, and not in a recent half-open trial unless the request may be repeated.
 bool EndpointPicker::is_healthy_for(const Request& request, const Endpoint& endpoint, double now_ms) const {
   if (!parts_.outliers.is_healthy(endpoint, now_ms)) return false;
   const auto& outlier = endpoint.outlier;
@@ -111,13 +116,13 @@
   return !(in_recent_trial && must_avoid_trials(request));
 }
 
-// A failed trial loses a non-idempotent request; a repeatable one goes on elsewhere. Where every class is
-// non-idempotent, somebody has to try.
+// Whether the request must not be used as a trial. A failed trial loses a non-idempotent request, while a
+// repeatable request is retried elsewhere. If no class is repeatable, any request may be a trial.
 bool EndpointPicker::must_avoid_trials(const Request& request) const {
   return any_class_is_repeatable_ && !parts_.classes.of(request).settings.repeatable();
 }
 
-// Why a rule keeps this endpoint from the request, or `none`. In order:
+// The first rule that forbids sending the request to this endpoint, or `none`. Checked in this order:
 //  attempts, deadline, no_server, not_repeatable   RetryPolicy::rejection_reason (rules 1 to 3)
 //  slow_start                                      SlowStart::has_budget (rule 4)
 RejectionReason EndpointPicker::exclusion_reason(const Request& request, const Endpoint& endpoint,
@@ -127,15 +132,16 @@
   return parts_.slow_start.has_budget(endpoint, now_ms) ? RejectionReason::none : RejectionReason::slow_start;
 }
 
-// Every attempt passes this check. Remembers the reason that excludes an available endpoint.
+// Whether no rule excludes the endpoint. Every attempt passes this check. Stores the reason that excludes an
+// available endpoint.
 bool EndpointPicker::is_permitted(const Request& request, EndpointIndex index, double now_ms) {
   auto reason = exclusion_reason(request, parts_.endpoints[index], now_ms);
   if (reason != RejectionReason::no_server) rejection_reason_ = reason;
   return reason == RejectionReason::none;
 }
 
-// An endpoint whose manual drain has ended and that has had no attempt since: the next request shows whether
-// it works. For some time only a repeatable request does.
+// Returns an endpoint whose manual drain has ended and that has received no attempt since; the next request
+// shows whether the endpoint works. For the first 2 s only a repeatable request is used.
 EndpointIndex EndpointPicker::undrained_candidate(const Request& request, double now_ms) const {
   bool must_wait = must_avoid_trials(request);
   for (EndpointIndex index : candidates_) {
@@ -146,9 +152,9 @@
   return no_endpoint;
 }
 
-// An endpoint whose trial is this balancer's turn and has not been sent yet. All others wait for its outcome:
-// left to the draw, the trial could take seconds where requests are few. Only a first attempt that may be
-// repeated goes there, as for other trials.
+// Returns an endpoint whose trial is this balancer's turn and has not been sent yet. The other balancers wait
+// for the outcome, and a random pick could delay the trial by seconds at a low request rate. Only the first
+// attempt of a repeatable request is used.
 EndpointIndex EndpointPicker::fleet_trial_candidate(const Request& request) const {
   if (request.attempt_count > 0 || must_avoid_trials(request)) return no_endpoint;
   auto awaits_trial = [&](EndpointIndex index) {
@@ -174,19 +180,20 @@
   return parts_.affinity.pick(request, objective_ms, candidates_, now_ms);
 }
 
-// Requests in flight at the endpoint with this one, as its last probe tells, for the share of its full
-// capacity that it has while it warms up. Other zones lose ties.
+// Load of the endpoint if the request is sent there: (requests in flight by the last probe + 1) / capacity
+// fraction, which is below 1 during slow start. Endpoints in other zones lose ties if crossing zones costs.
 double EndpointPicker::probed_load(const Endpoint& endpoint, double now_ms) const {
   double load = (endpoint.load.probed_load + 1) / parts_.slow_start.capacity_fraction(endpoint, now_ms);
   bool is_costly = parts_.locality.has_cross_zone_cost() && parts_.locality.is_remote(endpoint);
   return load + (is_costly ? remote_tie_break_requests : 0);
 }
 
-// The least loaded of the candidates with a fresh probe, at random among equals; `no_endpoint`: none has one.
+// Returns the least loaded candidate with a fresh probe, at random among equals, or `no_endpoint` if no
+// candidate has a fresh probe.
 EndpointIndex EndpointPicker::pick_lowest_probed_load(double now_ms) {
   EndpointIndex lowest = no_endpoint;
   double min_load = never;
-  int equal = 0;
+  int tie_count = 0;
   for (EndpointIndex index : candidates_) {
     const auto& endpoint = parts_.endpoints[index];
     if (!parts_.load.has_fresh_probe(endpoint, now_ms) || endpoint.load.probed_load == never) continue;
@@ -194,39 +201,40 @@
     if (load < min_load) {
       lowest = index;
       min_load = load;
-      equal = 0;
+      tie_count = 0;
     }
-    if (load == min_load && parts_.random.uniform() * ++equal < 1) lowest = index;
+    if (load == min_load && parts_.random.uniform() * ++tie_count < 1) lowest = index;
   }
   return lowest;
 }
 
-EndpointIndex EndpointPicker::pick_idle_or_lesser(double mean_in_flight, double now_ms) {
+EndpointIndex EndpointPicker::pick_idle_or_less_loaded(double mean_in_flight, double now_ms) {
   auto& endpoints = parts_.endpoints;
   if (parts_.load.uses_load_reports()) {
     for (EndpointIndex index : candidates_)
       endpoints[index].load.expected_ms = parts_.load.response_ms(endpoints[index], now_ms);
   }
   EndpointIndex idle = draw_idle(mean_in_flight);
-  return idle != no_endpoint ? idle : lesser_of_two(mean_in_flight);
+  return idle != no_endpoint ? idle : pick_less_loaded_of_two(mean_in_flight);
 }
 
-// Draws one idle candidate by weight, in one pass; `no_endpoint`: none is idle.
+// Draws one idle candidate by weight, in one pass. Returns `no_endpoint` if no candidate is idle.
 EndpointIndex EndpointPicker::draw_idle(double mean_in_flight) {
   double sum_of_weights = 0;
   EndpointIndex drawn = no_endpoint;
   for (EndpointIndex index : candidates_) {
     const auto& endpoint = parts_.endpoints[index];
     if (assumed_in_flight(endpoint, mean_in_flight) >= max_idle_requests) continue;
-    double own_weight = weight(endpoint);
-    sum_of_weights += own_weight;
-    if (parts_.random.uniform() * sum_of_weights < own_weight) drawn = index;
+    double candidate_weight = weight(endpoint);
+    sum_of_weights += candidate_weight;
+    if (parts_.random.uniform() * sum_of_weights < candidate_weight) drawn = index;
   }
   return drawn;
 }
 
-// Draws two candidates by weight; the one with fewer own requests in flight for its weight.
-EndpointIndex EndpointPicker::lesser_of_two(double mean_in_flight) {
+// Draws two candidates by weight and returns the one with fewer of this balancer's requests in flight per
+// weight.
+EndpointIndex EndpointPicker::pick_less_loaded_of_two(double mean_in_flight) {
   const auto& endpoints = parts_.endpoints;
   double sum_of_weights = 0;
   for (EndpointIndex index : candidates_) sum_of_weights += weight(endpoints[index]);
@@ -237,8 +245,8 @@
   return second_load * weight(endpoints[first]) < first_load * weight(endpoints[second]) ? second : first;
 }
 
-// An endpoint's weight in the draws. Where responses report queue depths: 1 / expected latency squared.
-// Otherwise the listed weight, reduced for an endpoint slower than its peers.
+// The endpoint's weight in random draws: 1 / (expected latency)^2 if responses report queue depths, else the
+// listed weight, reduced for an endpoint that is slower than its peers.
 double EndpointPicker::weight(const Endpoint& endpoint) const {
   double expected_ms = endpoint.load.expected_ms;
   if (parts_.load.uses_load_reports()) return 1 / (expected_ms * expected_ms);
@@ -246,10 +254,10 @@
 }
 
 EndpointIndex EndpointPicker::draw(double sum_of_weights) {
-  double left = parts_.random.uniform() * sum_of_weights;
+  double remaining = parts_.random.uniform() * sum_of_weights;
   for (EndpointIndex index : candidates_) {
-    left -= weight(parts_.endpoints[index]);
-    if (left <= 0) return index;
+    remaining -= weight(parts_.endpoints[index]);
+    if (remaining <= 0) return index;
   }
   return candidates_.back();
 }
--- a/src/policy/endpoint_picker.hpp
+++ b/src/policy/endpoint_picker.hpp
@@ -20,7 +20,7 @@
 
 namespace meadowgauge {
 
-// The policy's other parts that the picker asks, or informs of its decisions. All must outlive the picker.
+// The other components of the policy that the picker uses. All must outlive the picker.
 struct PickerParts {
   const PolicySettings& settings;
   EndpointTable& endpoints;
@@ -39,35 +39,40 @@
 //
 //  1. The concurrency limit may reject a first attempt at the first tier.
 //  2. Candidates are the endpoints that are healthy for this request (is_healthy_for) and that no rule
-//     excludes (exclusion_reason). Panic threshold: where most ready endpoints look unhealthy, health is
+//     excludes (exclusion_reason). Panic threshold: when most ready endpoints look unhealthy, health is
 //     ignored.
-//  3. An endpoint whose manual drain has just ended is tried first; then an endpoint that the fleet has
-//     ejected, in this balancer's turn to try it.
-//  4. By key affinity, if it applies to the request; by fresh probes, where probes are used.
-//  5. Otherwise, in the own zone first, a random endpoint without own requests in flight, else the one with
-//     fewer of two drawn by weight (power of two choices).
+//  3. An endpoint whose manual drain has just ended goes first; then an endpoint that the fleet has ejected,
+//     if it is this balancer's turn to try the endpoint.
+//  4. If key affinity applies to the request, KeyAffinity picks. Else, where probes are used, the candidate
+//     with the lowest load by a fresh probe is picked, if there is one. The concurrency limit may reject the
+//     picked endpoint.
+//  5. Otherwise a random endpoint without requests of this balancer in flight is picked, from the local zone
+//     first. If there is none, two endpoints are drawn by weight, and the less loaded is picked (power of two
+//     choices).
 class EndpointPicker {
  public:
   explicit EndpointPicker(const PickerParts& parts);
 
-  // Returns `no_endpoint` where no endpoint may get this attempt; rejection_reason() then tells why.
+  // Returns the endpoint for the next attempt, or `no_endpoint` if no endpoint may receive the attempt;
+  // rejection_reason() then returns the reason.
   EndpointIndex pick(const Request& request, double now_ms);
-  // The reason for the last `no_endpoint`: the limit's, or that of the last endpoint excluded by a rule.
+  // The reason of the last `no_endpoint`: the concurrency limit, or the rule that excluded the last endpoint
+  // checked.
   [[nodiscard]] RejectionReason rejection_reason() const { return rejection_reason_; }
 
   // See Policy::request_trials().
   void request_trials(std::span<const std::uint32_t> endpoint_ids);
-  // An attempt goes to the endpoint.
+  // Records that an attempt is sent to the endpoint, which completes a requested trial.
   static void record_trial(Endpoint& endpoint) {
     if (endpoint.fleet_trial == FleetTrial::requested) endpoint.fleet_trial = FleetTrial::sent;
   }
 
  private:
-  // Counts of the endpoints that are listed as ready and not drained.
+  // Counts over the endpoints that are listed as ready and not drained by an operator.
   struct TierCounts {
     int ready = 0;
     int unhealthy = 0;
-    double mean_in_flight = 0;  // own requests per endpoint that has had an outcome
+    double mean_in_flight = 0;  // of this balancer, per endpoint that has had an outcome
   };
   TierCounts gather_healthy(const Request& request, double now_ms);
   void gather_regardless_of_health(const Request& request, int ready, double now_ms);
@@ -77,15 +82,15 @@
                                                  double now_ms) const;
   bool is_permitted(const Request& request, EndpointIndex index, double now_ms);
   EndpointIndex pick_by_affinity(const Request& request, double now_ms);
-  EndpointIndex admit_unless(bool is_full, bool is_limited, EndpointIndex index);
+  EndpointIndex admit_unless_full(bool is_full, bool is_limited, EndpointIndex index);
   [[nodiscard]] EndpointIndex undrained_candidate(const Request& request, double now_ms) const;
   [[nodiscard]] EndpointIndex fleet_trial_candidate(const Request& request) const;
-  bool is_rejected(bool is_full);
+  bool reject_if_full(bool is_full);
   EndpointIndex pick_lowest_probed_load(double now_ms);
   [[nodiscard]] double probed_load(const Endpoint& endpoint, double now_ms) const;
-  EndpointIndex pick_idle_or_lesser(double mean_in_flight, double now_ms);
+  EndpointIndex pick_idle_or_less_loaded(double mean_in_flight, double now_ms);
   EndpointIndex draw_idle(double mean_in_flight);
-  EndpointIndex lesser_of_two(double mean_in_flight);
+  EndpointIndex pick_less_loaded_of_two(double mean_in_flight);
   [[nodiscard]] double weight(const Endpoint& endpoint) const;
   EndpointIndex draw(double sum_of_weights);
 
--- a/src/policy/endpoint_updater.cpp
+++ b/src/policy/endpoint_updater.cpp
@@ -6,7 +6,7 @@
 namespace meadowgauge {
 namespace {
 
-constexpr std::uint32_t gossip_id_bits = 0xffffff;  // of an endpoint's id, as gossip carries it
+constexpr std::uint32_t gossip_id_bits = 0xffffff;  // the part of an endpoint's id that gossip carries
 
 }  // namespace
 
@@ -29,11 +29,11 @@
 }
 
 void EndpointUpdater::update_endpoint(const EndpointEntry& entry, double now_ms) {
-  endpoints_.add_up_to(entry.endpoint);
+  endpoints_.grow_to_include(entry.endpoint);
   auto& endpoint = endpoints_[entry.endpoint];
   endpoint.state = entry.state;
-  // An entry that has gone carries no other values. The last zone and cell stay: they decide where a request
-  // may go that an attempt there may have run.
+  // An entry in state `gone` carries no other values. The last zone and cell are kept: they decide where a
+  // request may be retried after an attempt that may have run on this endpoint.
   if (entry.state == EndpointState::gone) return;
   auto& listed = endpoints_.mutable_listed();
   bool is_listed = std::find(listed.begin(), listed.end(), entry.endpoint) != listed.end();
@@ -45,14 +45,14 @@
   endpoint.manually_drained = entry.manually_drained;
 }
 
-// Forgets what is known of the process before. What is in flight there and a manual drain stay.
+// Resets the state learned from the previous process. The number in flight and a manual drain are kept.
 void EndpointUpdater::reset_for_new_process(Endpoint& endpoint, bool is_listed, double now_ms) {
-  Endpoint before = std::exchange(endpoint, Endpoint{});
-  endpoint.in_flight = before.in_flight;
-  endpoint.manually_drained = before.manually_drained;
-  endpoint.drained_at_ms = before.drained_at_ms;
-  if (is_listed) endpoint.undrained_at_ms = before.undrained_at_ms;
-  endpoint.last_sign_at_ms = now_ms;
+  Endpoint previous = std::exchange(endpoint, Endpoint{});
+  endpoint.in_flight = previous.in_flight;
+  endpoint.manually_drained = previous.manually_drained;
+  endpoint.drained_at_ms = previous.drained_at_ms;
+  if (is_listed) endpoint.undrained_at_ms = previous.undrained_at_ms;
+  endpoint.last_activity_at_ms = now_ms;
   slow_start_.start(endpoint, now_ms);
 }
 
@@ -68,27 +68,27 @@
   endpoint.state = entry.state;
 }
 
-void EndpointUpdater::set_manual_drain(EndpointIndex index, bool drained, double now_ms) {
-  if (!endpoints_.knows(index) || endpoints_[index].manually_drained == drained) return;
+void EndpointUpdater::set_manual_drain(EndpointIndex index, bool is_drained, double now_ms) {
+  if (!endpoints_.knows(index) || endpoints_[index].manually_drained == is_drained) return;
   auto& endpoint = endpoints_[index];
-  if (!drained) return end_manual_drain(endpoint, now_ms);
+  if (!is_drained) return end_manual_drain(endpoint, now_ms);
   endpoint.manually_drained = true;
   endpoint.drained_at_ms = now_ms;
 }
 
-// Forgets what is known of the endpoint, so that the next request tries it. Unless a list has named a start
-// during the drain, it may have been restarted and is warming up from now on.
+// Resets the learned state of the endpoint, so that the next request tries it. Unless a list reported a start
+// during the drain, the endpoint is treated as restarted now and starts to warm up.
 void EndpointUpdater::end_manual_drain(Endpoint& endpoint, double now_ms) {
-  Endpoint before = std::exchange(endpoint, Endpoint{});
-  endpoint.zone = before.zone;
-  endpoint.cell = before.cell;
-  endpoint.server_kind = before.server_kind;
-  endpoint.state = before.state;
-  endpoint.weight = before.weight;
-  endpoint.id = before.id;
-  endpoint.in_flight = before.in_flight;
-  endpoint.up_since_ms = before.up_since_ms > before.drained_at_ms ? before.up_since_ms : now_ms;
-  endpoint.last_sign_at_ms = now_ms;
+  Endpoint previous = std::exchange(endpoint, Endpoint{});
+  endpoint.zone = previous.zone;
+  endpoint.cell = previous.cell;
+  endpoint.server_kind = previous.server_kind;
+  endpoint.state = previous.state;
+  endpoint.weight = previous.weight;
+  endpoint.id = previous.id;
+  endpoint.in_flight = previous.in_flight;
+  endpoint.up_since_ms = previous.up_since_ms > previous.drained_at_ms ? previous.up_since_ms : now_ms;
+  endpoint.last_activity_at_ms = now_ms;
   endpoint.undrained_at_ms = now_ms;
   SlowStart::restore_after_drain(endpoint, now_ms);
 }
--- a/src/policy/endpoint_updater.hpp
+++ b/src/policy/endpoint_updater.hpp
@@ -1,4 +1,4 @@
-// Applies endpoint lists and manual drains to the endpoint table. It decides nothing.
+// Applies endpoint lists and manual drains to the endpoint table.
 #pragma once
 
 #include <span>
@@ -11,9 +11,11 @@
 
 namespace meadowgauge {
 
+// Updates the endpoint table from discovery and from operators' drains. New and restarted endpoints enter
+// slow start; what was learned about a restarted endpoint is reset.
 class EndpointUpdater {
  public:
-  // All arguments must outlive it.
+  // All arguments must outlive the updater.
   EndpointUpdater(const PolicySettings& settings, EndpointTable& endpoints, OutlierDetector& outliers,
                   LoadEstimator& load, SlowStart& slow_start)
       : settings_(settings),
@@ -22,10 +24,11 @@
         load_(load),
         slow_start_(slow_start) {}
 
-  // Applies the entries; endpoints that they do not name have gone unless `is_complete` is false.
+  // Applies the entries. If `is_complete`, endpoints without an entry are removed from the list.
   void update(bool is_complete, std::span<const EndpointEntry> entries, double now_ms);
-  // An operator drains the endpoint, or ends its drain. An unknown index, or no change, has no effect.
-  void set_manual_drain(EndpointIndex index, bool drained, double now_ms);
+  // Starts or ends an operator's drain of the endpoint. No effect if the index is unknown or the state is
+  // unchanged.
+  void set_manual_drain(EndpointIndex index, bool is_drained, double now_ms);
 
  private:
   void update_endpoint(const EndpointEntry& entry, double now_ms);
--- a/src/policy/hedging_policy.cpp
+++ b/src/policy/hedging_policy.cpp
@@ -6,9 +6,9 @@
 namespace meadowgauge {
 namespace {
 
-constexpr double delay_multiplier = 1.5;  // of the 95th percentile; of a short class's geometric mean latency
-constexpr double min_outlier_delay_ms = 400;  // for a request that is not short
-constexpr double max_short_share = 0.5;       // of the tier's mean latency, below which a class is short
+constexpr double delay_multiplier = 1.5;      // of the 95th percentile, or of a short class's geometric mean
+constexpr double min_outlier_delay_ms = 400;  // for classes that are not short
+constexpr double max_short_share = 0.5;       // of the tier's mean latency; a class below it is short
 
 }  // namespace
 
@@ -37,7 +37,8 @@
   return outlier_delay_ms * request.attempt_count;
 }
 
-// A short class is charged by its part of the mean latency, since it repeats only that much work.
+// A request of a short class is charged its class latency / mean latency, since only that much work is
+// repeated; any other request is charged 1.
 void HedgingPolicy::spend_budget(const Request& request) {
   double relative_cost = parts_.classes.of(request).relative_latency / parts_.limiter.mean_relative_latency();
   parts_.budget.spend(is_short(request) ? relative_cost : 1);
--- a/src/policy/key_affinity.hpp
+++ b/src/policy/key_affinity.hpp
@@ -14,32 +14,33 @@
 
 namespace meadowgauge {
 
-// Weighted rendezvous hashing: all balancers rank the endpoints of a key alike, by
+// Weighted rendezvous hashing: all balancers rank the endpoints for a key in the same order, by
 //
 //   -ln(u) * latency ratio of the server kind,   u uniform from the hash of key and endpoint id
 //
-// the lowest first. A key is served by the first ceil(1.3 * key's share of the requests * endpoints) of its
-// ranking, so that a popular one is spread. Of two of those drawn at random and of the next two in rank, the
-// one of least expected cost is picked; the latter are charged what an endpoint loses that does not have the
-// key cached.
+// lowest first. The first ceil(1.3 * key's share of the requests * endpoints) in this order serve the key, so
+// that a popular key is spread over several endpoints. The pick is the endpoint with the least expected cost
+// among two random endpoints that serve the key and the next two in rank. The latter two are charged the cost
+// of a cache miss.
 class KeyAffinity {
  public:
   // All arguments must outlive it.
   KeyAffinity(const PolicySettings& settings, const EndpointTable& endpoints, const LoadEstimator& load,
               const LocalityRouter& locality, Random& random);
 
-  // Whether endpoints cache by key, and this request has one.
+  // Whether endpoints cache by key and this request has a key.
   [[nodiscard]] bool applies_to(const Request& request) const {
     return settings_.key_affinity && request.key != 0;
   }
-  // Returns one of the candidates, of which there must be at least one. `objective_ms` is the latency
-  // objective.
+  // Returns one of the candidates; there must be at least one. `objective_ms` is the latency objective of the
+  // request's class.
   EndpointIndex pick(const Request& request, double objective_ms,
                      const std::vector<EndpointIndex>& candidates, double now_ms);
 
-  // The most popular keys, for gossip; and those of another balancer.
-  [[nodiscard]] std::vector<KeyShare> shares() const { return keys_.top_shares(); }
-  void gossip_received(const std::vector<KeyShare>& shares) { keys_.average_with(shares); }
+  // The most popular keys, to be sent by gossip.
+  [[nodiscard]] std::vector<KeyShare> shares() const { return key_shares_.top_shares(); }
+  // Merges the most popular keys of another balancer.
+  void gossip_received(const std::vector<KeyShare>& shares) { key_shares_.average_with(shares); }
 
  private:
   struct RankedEndpoint {
@@ -56,17 +57,19 @@
   };
   [[nodiscard]] double popularity(const Request& request);
   void rank(std::uint64_t key, const std::vector<EndpointIndex>& candidates);
-  void choose(Choice& best, Ranking& ranking, double popularity, double crossing_ms, double now_ms);
-  void consider(Choice& best, EndpointIndex index, double crossing_ms, double miss_ms, double now_ms) const;
+  void consider_ranking(Choice& best, Ranking& ranking, double popularity, double crossing_cost_ms,
+                        double now_ms);
+  void consider(Choice& best, EndpointIndex index, double crossing_cost_ms, double miss_cost_ms,
+                double now_ms) const;
 
   const PolicySettings& settings_;
   const EndpointTable& endpoints_;
   const LoadEstimator& load_;
   const LocalityRouter& locality_;
   Random& random_;
-  KeyShares keys_;
-  Ranking near_;  // of the current request's key: endpoints in the own zone
-  Ranking far_;   // in other zones
+  KeyShares key_shares_;
+  Ranking local_ranking_;   // endpoints in the local zone, ranked for the current request's key
+  Ranking remote_ranking_;  // the same for the other zones
 };
 
 }  // namespace meadowgauge
--- a/src/policy/key_shares.cpp
+++ b/src/policy/key_shares.cpp
@@ -17,14 +17,15 @@
   return bits ^ (bits >> 31);
 }
 
-// The key's entry, or else the least popular one, which the key may replace.
-KeyShare& KeyShares::entry_for(std::uint32_t key) {
-  KeyShare* least = entries_.data();
+// Returns the key's entry or, if the key is not in the table, the least popular entry, which the caller may
+// replace.
+KeyShare& KeyShares::find_or_least_popular(std::uint32_t key) {
+  KeyShare* least_popular = entries_.data();
   for (auto& entry : entries_) {
     if (entry.key == key) return entry;
-    if (entry.share < least->share) least = &entry;
+    if (entry.share < least_popular->share) least_popular = &entry;
   }
-  return *least;
+  return *least_popular;
 }
 
 double KeyShares::record(std::uint64_t key) {
@@ -32,7 +33,7 @@
   double gain = std::max(gain_, uncertainty() / prior_requests_);
   auto id = static_cast<std::uint32_t>(mix_bits(key) & key_id_bits);
   for (auto& entry : entries_) entry.share *= 1 - gain;
-  auto& entry = entry_for(id);
+  auto& entry = find_or_least_popular(id);
   if (entry.key != id) entry = {.key = id};
   double share_before = entry.share;
   entry.share += gain;
@@ -48,8 +49,8 @@
   return top;
 }
 
-// A key that the other balancer does not name is assumed to have the least share that it names, or the own
-// one if that is smaller.
+// A key missing from the received shares is assumed to have the smallest received share, or its share in this
+// table if that is smaller.
 void KeyShares::average_with(const std::vector<KeyShare>& received) {
   if (received.empty()) return;
   for (auto& entry : entries_) {
@@ -59,7 +60,7 @@
     entry.share = (entry.share + other_share) / 2;
   }
   for (const auto& other : received) {
-    auto& entry = entry_for(other.key);
+    auto& entry = find_or_least_popular(other.key);
     double half_share = other.share / 2;
     if (entry.key != other.key && entry.share < half_share) entry = {.key = other.key, .share = half_share};
   }
--- a/src/policy/key_shares.hpp
+++ b/src/policy/key_shares.hpp
@@ -1,4 +1,4 @@
-// How often keys come, from a balancer's own requests and from gossip. It only measures; KeyAffinity decides.
+// Measures how often keys are requested, from a balancer's own requests and from gossip. Used by KeyAffinity.
 #pragma once
 
 #include <array>
@@ -10,30 +10,31 @@
 
 namespace meadowgauge {
 
-// Spreads the bits of a number evenly (SplitMix64).
+// Hashes a number: one step of SplitMix64, which spreads its bits evenly.
 std::uint64_t mix_bits(std::uint64_t bits);
 
-// Moving shares of the most popular keys, in a table of fixed size. Keys are kept by 24 bits of their hash.
+// Moving averages of the request shares of the most popular keys, in a table of 64 entries. A key is
+// identified by 24 bits of its hash.
 class KeyShares {
  public:
-  // `gain`: weight of one request; `prior_requests`: requests before a share means anything.
+  // `gain`: weight of one request; `prior_requests`: number of requests before a share is meaningful.
   KeyShares(double gain, double prior_requests) : gain_(gain), prior_requests_(prior_requests) {}
 
-  // Counts a request with this key; returns the key's share before it, 0 to 1.
+  // Counts a request with this key. Returns the key's share before this request, 0 to 1.
   double record(std::uint64_t key);
-  // How little is known, from 1 down to 0 as requests are counted.
+  // Uncertainty of the shares: 1 at the start, approaching 0 as requests are counted.
   [[nodiscard]] double uncertainty() const {
     return prior_requests_ / (prior_requests_ + recorded_requests_);
   }
-  // The most popular keys first, as many as a gossip message holds.
+  // The most popular keys, in descending order of share, as many as fit into a gossip message.
   [[nodiscard]] std::vector<KeyShare> top_shares() const;
-  // Takes the mean of the own shares and those of another balancer, the most popular first. A mean stays
-  // within both, however often the same shares arrive.
+  // Averages the shares with those of another balancer, which must be in descending order. A repeated message
+  // does no harm, since an average stays between its two inputs.
   void average_with(const std::vector<KeyShare>& received);
 
  private:
   static constexpr std::size_t table_size = 64;
-  KeyShare& entry_for(std::uint32_t key);
+  KeyShare& find_or_least_popular(std::uint32_t key);
 
   double gain_;
   double prior_requests_;
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -8,9 +8,10 @@
 
 std::string ejection_name(EndpointIndex endpoint) { return "bench@" + std::to_string(position_of(endpoint)); }
 
-// The names are stored: other builds read them.
-template <class Parts, class F>
-void each(Parts& parts, F&& apply) {
+// Calls `apply` with the name and a reference to each value. The names are stored and read by other builds,
+// so they must not change.
+template <class Parts, class Function>
+void for_each_value(Parts& parts, Function&& apply) {
   auto& limiter = parts.limiter;
   apply("mean_took", limiter.mean_ms);
   apply("calm", limiter.baseline_ms);
@@ -33,18 +34,18 @@
 }  // namespace
 
 void save(const LearnedParts& parts, LearnedState& state) {
-  each(parts, [&](const std::string& name, double value) { state[name] = value; });
+  for_each_value(parts, [&](const std::string& name, double value) { state[name] = value; });
 }
 
 void restore(const LearnedState& state, LearnedParts& parts) {
-  each(parts, [&](const std::string& name, double& value) {
+  for_each_value(parts, [&](const std::string& name, double& value) {
     auto it = state.find(name);
     if (it != state.end() && std::isfinite(it->second)) value = it->second;
   });
 }
 
-void save_ejection(EndpointIndex endpoint, double until, LearnedState& state) {
-  state[ejection_name(endpoint)] = until;
+void save_ejection(EndpointIndex endpoint, double ejected_until_ms, LearnedState& state) {
+  state[ejection_name(endpoint)] = ejected_until_ms;
 }
 
 std::optional<double> saved_ejection(const LearnedState& state, EndpointIndex endpoint) {
--- a/src/policy/learned_state.hpp
+++ b/src/policy/learned_state.hpp
@@ -1,4 +1,4 @@
-// What a balancer has learned under the names that its successor finds it by. It holds no decisions.
+// Converts the state that a balancer has learned to and from named values, for its successor process.
 #pragma once
 
 #include <optional>
@@ -10,6 +10,7 @@
 
 namespace meadowgauge {
 
+// The learned values of the policy's components.
 struct LearnedParts {
   ConcurrencyLimiter::Learned limiter;
   LocalityRouter::Learned locality;
@@ -17,13 +18,13 @@
   std::vector<double> class_mean_log_latency;
 };
 
-// Adds all of them to the state.
+// Adds all values of `parts` to the state.
 void save(const LearnedParts& parts, LearnedState& state);
-// What the state does not name, or names no finite number for, is left as it is.
+// Overwrites the values of `parts` that the state contains as finite numbers; leaves the others unchanged.
 void restore(const LearnedState& state, LearnedParts& parts);
 
-// Until when an endpoint is to be left alone.
-void save_ejection(EndpointIndex endpoint, double until, LearnedState& state);
+// Stores the time in ms until which an endpoint is ejected, and returns the stored time if there is one.
+void save_ejection(EndpointIndex endpoint, double ejected_until_ms, LearnedState& state);
 [[nodiscard]] std::optional<double> saved_ejection(const LearnedState& state, EndpointIndex endpoint);
 
 }  // namespace meadowgauge
--- a/src/policy/list_subscription.hpp
+++ b/src/policy/list_subscription.hpp
@@ -1,5 +1,5 @@
-// When the endpoint list is asked for, where it has to be subscribed to. Design: docs/design.md, "The
-// endpoint list".
+// Decides when to subscribe to the endpoint list, if discovery requires a subscription. Design:
+// docs/design.md, "The endpoint list".
 #pragma once
 
 #include <vector>
@@ -10,23 +10,27 @@
 
 namespace meadowgauge {
 
-// Subscribes once after a random delay, so that balancers that start together spread their calls; after a
-// failure again with exponential backoff and jitter: 0.5 s doubled for each failure, 0.5 to 1.5 times that,
-// and no longer than a third of `ask_within_ms`.
+// Subscribes after a random delay, so that balancers that start together spread their calls. Retries with
+// exponential backoff and jitter.
+//
+//   first delay = random from 0 to min(400 ms + 20 ms * balancers, ask_within_ms / 3)
+//   retry delay = (random from 0.5 to 1.5) * min(500 ms * 2^(consecutive failures - 1), ask_within_ms / 3)
+//
+// States:
 //
 //   waiting -> requested (tick) -> subscribed (list_received)
-//   requested, subscribed -> waiting (list_failed, or no answer within five seconds)
+//   requested, subscribed -> waiting (list_failed; when requested, also no answer within five seconds)
 class ListSubscription {
  public:
-  // All arguments must outlive it.
+  // All arguments must outlive the subscription.
   ListSubscription(const PolicySettings& settings, Random& random, std::vector<PolicyEvent>& events,
                    double now_ms);
 
-  // A list has come, complete or as a change.
+  // Records that a list has arrived, complete or as a change.
   void list_received();
-  // The call has failed, or the subscription has ended.
+  // Records that the call has failed or the subscription has ended, and schedules a retry.
   void list_failed(double now_ms);
-  // Whether to subscribe now. To be called every tick.
+  // Returns whether to subscribe now. Must be called every tick.
   bool tick(double now_ms);
 
  private:
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -11,39 +11,40 @@
 
 // Probes.
 constexpr int probes_per_request = 5;
-constexpr int draws_per_probe = 3;                 // attempts to draw an endpoint that may be probed
-constexpr double probe_wait_multiplier = 2;        // of a probe's mean time, for which a request waits
-constexpr double probe_fresh_multiplier = 5;       // of a probe's mean time, for which its result is used
-constexpr double probe_duration_gain = 0.02;       // of one probe
-constexpr double prediction_gain = 0.02;           // of one response
-constexpr double min_prediction_multiplier = 0.5;  // of actual over predicted latency
+constexpr int draws_per_probe = 3;                 // random draws to find an endpoint that may be probed
+constexpr double probe_wait_multiplier = 2;        // a request waits this times a probe's mean duration
+constexpr double probe_fresh_multiplier = 5;       // a result is used for this times a probe's mean duration
+constexpr double probe_duration_gain = 0.02;       // weight of one probe
+constexpr double prediction_gain = 0.02;           // weight of one response
+constexpr double min_prediction_multiplier = 0.5;  // lower bound of actual / predicted latency
 constexpr double max_prediction_multiplier = 2;
 
 // Load reports.
-constexpr double hint_gain = 0.02;          // of one request's hint of its work
-constexpr double work_gain = 0.02;          // of one response
-constexpr double server_kind_gain = 0.01;   // of one response
-constexpr double median_step_ratio = 0.04;  // step of the median estimate, of its logarithm
-constexpr double rejection_latency_multiplier =
-    4;                                    // of the typical response, assumed of an endpoint that rejects
-constexpr double report_decay_ms = 3000;  // time constant with which a report loses its weight
-constexpr double queue_decay_ms = 1000;   // the same for admission: a queue is gone sooner
-constexpr double typical_decay_ms = 500;  // the same for the typical response, without any report
+constexpr double hint_gain = 0.02;                  // weight of one request's hint of its work
+constexpr double work_gain = 0.02;                  // weight of one response
+constexpr double server_kind_gain = 0.01;           // weight of one response
+constexpr double median_step_ratio = 0.04;          // step of the logarithm of the median estimate
+constexpr double rejection_latency_multiplier = 4;  // of the typical response, for a rejecting endpoint
+constexpr double report_decay_ms = 3000;            // time constant with which a report loses weight
+constexpr double queue_decay_ms = 1000;             // the same for admission, since a queue drains sooner
+constexpr double typical_decay_ms = 500;  // the same for the typical response while no reports arrive
 
 // Gossip.
 constexpr double gossip_interval_ms = 400;
-constexpr double min_gossip_interval_share = 0.8;     // each interval is drawn from this share of it
-constexpr double gossip_interval_spread_share = 0.4;  // and over this width
+constexpr double min_gossip_interval_share = 0.8;     // shortest interval, as a share of gossip_interval_ms
+constexpr double gossip_interval_spread_share = 0.4;  // longest minus shortest interval, likewise
 
-// Latency of a request that finds so many others before it. Reported latencies contain waiting and would
-// predict too little by themselves; the power of 1.5 makes a deeper queue count more than its depth.
+// Expected latency of a request at this queue depth: depth^1.5 * mean work. The latencies behind the mean
+// work include queueing, and a proportional estimate from them would be too low; the power of 1.5 makes a
+// deeper queue count more than its depth.
 double queue_latency_ms(double depth, double mean_work_ms) { return depth * std::sqrt(depth) * mean_work_ms; }
 
 }  // namespace
 
-double LoadEstimator::first_gossip_in_ms() { return random_.uniform() * gossip_interval_ms; }
+double LoadEstimator::draw_first_gossip_delay_ms() { return random_.uniform() * gossip_interval_ms; }
 
-// Draws endpoints that may get the request, at random for each attempt.
+// Draws random endpoints that may receive the request. No probes are sent if waiting for them would take too
+// long for the request's deadline.
 bool LoadEstimator::request_probes(Request& request, Decision& decision, double now_ms) {
   const auto& listed = endpoints_.listed();
   if (!uses_probes() || request.probes_requested_for_attempt > request.attempt_count || listed.empty())
@@ -54,11 +55,11 @@
        ++n) {
     EndpointIndex index = listed[random_.below(listed.size())];
     auto* end = decision.probes.begin() + decision.probe_count;
-    bool is_drawn = std::find(decision.probes.begin(), end, index) != end;
+    bool is_already_drawn = std::find(decision.probes.begin(), end, index) != end;
     const auto& endpoint = endpoints_[index];
-    bool may_get_it =
+    bool is_usable =
         endpoint.is_available() && outliers_.is_healthy(endpoint, now_ms) && !has_tried(request, index);
-    if (is_drawn || !may_get_it) continue;
+    if (is_already_drawn || !is_usable) continue;
     decision.probes[static_cast<std::size_t>(decision.probe_count++)] = index;
   }
   if (decision.probe_count > 0) decision.kind = Decision::wait;
@@ -87,8 +88,8 @@
 
 double LoadEstimator::predicted_ms(const Request& request, const Endpoint& endpoint,
                                    double capacity_fraction) const {
-  double own_work_ms = request.work_ms > 0 ? request.work_ms : mean_work_ms_;
-  return prediction_multiplier_ * (endpoint.load.probed_load * mean_work_ms_ + own_work_ms) /
+  double request_work_ms = request.work_ms > 0 ? request.work_ms : mean_work_ms_;
+  return prediction_multiplier_ * (endpoint.load.probed_load * mean_work_ms_ + request_work_ms) /
          capacity_fraction;
 }
 
@@ -96,8 +97,8 @@
   if (work_ms > 0) blend(mean_work_ms_, work_ms, hint_gain);
 }
 
-// The latest report on an endpoint replaces the one before, whoever sent it: nothing adds up, so that nothing
-// that arrives twice counts twice.
+// The latest report on an endpoint replaces the previous report, whichever balancer received it. Reports are
+// never summed, so that a report that arrives twice does not count twice.
 void LoadEstimator::record_attempt(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report,
                                    double now_ms) {
   if (!uses_load_reports()) return;
@@ -108,9 +109,9 @@
   endpoint.load.reported_at_ms = now_ms;
 }
 
-// Raises the expected latency of an endpoint that rejected an attempt or let it time out. Returns whether
-// that is a sign of overload and not of a fault: an overloaded endpoint must not be ejected, or its keys
-// would move to others and cost more there.
+// Raises the expected latency of an endpoint after a rejected or timed-out attempt. Returns whether the
+// outcome indicates overload rather than a fault: an overloaded endpoint must not be ejected, or its keys
+// would move to other endpoints and cost more there.
 bool LoadEstimator::record_overload(Endpoint& endpoint, const Attempt& attempt, double now_ms) const {
   auto& load = endpoint.load;
   if (attempt.outcome == Outcome::rejected) {
@@ -126,8 +127,8 @@
   return false;
 }
 
-// Learns from the queue depth that a response reports: the mean work of a place in the queue, the endpoint's
-// expected latency, and how its server kind compares with the others.
+// Updates, from the queue depth that a response reports, the mean work per queue position, the endpoint's
+// expected latency, and the latency ratio of its server kind.
 void LoadEstimator::record_depth(Endpoint& endpoint, const Attempt& attempt, const LoadReport& report,
                                  double now_ms) {
   double depth = std::max(0.0F, report.values[static_cast<std::size_t>(settings_.depth_column)]) + 1;
@@ -142,8 +143,8 @@
   kind.ratio += gain * (work_ms / std::max(1.0, mean_work_ms_) - kind.ratio);
 }
 
-// Moves the estimate of the median response time by a fixed step of its logarithm, up or down, for each
-// report. Latencies are scaled to an endpoint of mean weight.
+// Moves the logarithm of the estimated median response time by a fixed step, up or down, for each report.
+// Latencies are scaled to an endpoint of mean weight.
 void LoadEstimator::update_typical_response(const Endpoint& endpoint, double reported_at_ms, double now_ms) {
   if (now_ms - reported_at_ms > report_decay_ms) return;
   typical_reported_at_ms_ = std::max(typical_reported_at_ms_, reported_at_ms);
@@ -168,38 +169,40 @@
   return decayed_ms(endpoint, now_ms, queue_decay_ms);
 }
 
-// The latency typical of an endpoint of this weight. Without any report it decays to the mean work: where all
-// endpoints reject requests no report comes, and the last ones show an overload that may be over.
-double LoadEstimator::typical_ms_of(const Endpoint& endpoint, double now_ms) const {
-  double left = std::exp((typical_reported_at_ms_ - now_ms) / typical_decay_ms);
-  double typical_ms = mean_work_ms_ + (typical_response_ms_ - mean_work_ms_) * left;
+// The typical latency in ms of an endpoint of this weight. While no reports arrive it decays to the mean
+// work: endpoints that reject all requests send no reports, and the last reports show an overload that may be
+// over.
+double LoadEstimator::typical_ms_for(const Endpoint& endpoint, double now_ms) const {
+  double remaining_weight = std::exp((typical_reported_at_ms_ - now_ms) / typical_decay_ms);
+  double typical_ms = mean_work_ms_ + (typical_response_ms_ - mean_work_ms_) * remaining_weight;
   return std::max(1.0, typical_ms * endpoints_.mean_weight() / endpoint.weight);
 }
 
-// The reported latency, decaying towards the typical one with the report's age.
+// The reported latency, which decays towards the typical latency with the report's age.
 double LoadEstimator::decayed_ms(const Endpoint& endpoint, double now_ms, double decay_ms) const {
-  double typical_ms = typical_ms_of(endpoint, now_ms);
+  double typical_ms = typical_ms_for(endpoint, now_ms);
   const auto& load = endpoint.load;
   if (!(load.response_ms > 0)) return typical_ms;
-  double left = std::exp((load.reported_at_ms - now_ms) / decay_ms);
-  return typical_ms + (load.response_ms - typical_ms) * left;
+  double remaining_weight = std::exp((load.reported_at_ms - now_ms) / decay_ms);
+  return typical_ms + (load.response_ms - typical_ms) * remaining_weight;
 }
 
 std::optional<GossipMessage> LoadEstimator::gossip_due(double now_ms) {
-  if (!has_gossip_ || now_ms < gossip_at_ms_) return {};
+  if (!is_gossip_enabled_ || now_ms < next_gossip_at_ms_) return {};
   double interval_share = min_gossip_interval_share + gossip_interval_spread_share * random_.uniform();
-  gossip_at_ms_ = now_ms + gossip_interval_ms * interval_share;
-  auto fresh = freshest_reports(now_ms);
+  next_gossip_at_ms_ = now_ms + gossip_interval_ms * interval_share;
+  auto fresh = freshest_reported_endpoints(now_ms);
   if (fresh.empty()) return {};
   GossipMessage message;
-  for (EndpointIndex index : fresh) message.content.endpoints.push_back(report_on(endpoints_[index], now_ms));
-  int other = static_cast<int>(random_.uniform() * (settings_.replicas - 1));
-  message.to = other + (other >= settings_.own_number ? 1 : 0);
+  for (EndpointIndex index : fresh)
+    message.content.endpoints.push_back(make_endpoint_report(endpoints_[index], now_ms));
+  int other_index = static_cast<int>(random_.uniform() * (settings_.replicas - 1));
+  message.to = other_index + (other_index >= settings_.own_number ? 1 : 0);
   return message;
 }
 
-// Endpoints with a report fresh enough to be passed on, the latest first, as many as a message holds.
-std::vector<EndpointIndex> LoadEstimator::freshest_reports(double now_ms) const {
+// Returns the endpoints with a report fresh enough to send, the latest first, as many as fit into a message.
+std::vector<EndpointIndex> LoadEstimator::freshest_reported_endpoints(double now_ms) const {
   std::vector<EndpointIndex> fresh;
   for (EndpointIndex index : endpoints_.listed()) {
     const auto& endpoint = endpoints_[index];
@@ -214,8 +217,8 @@
   return fresh;
 }
 
-// Takes a report that is later than the own one. Reports on endpoints outside the own list are dropped: no
-// request goes to an endpoint on gossip alone.
+// Ignores reports that are not later than the known one, and reports on endpoints that are not in the list:
+// no request is sent to an endpoint that only gossip names.
 void LoadEstimator::gossip_received(const std::vector<EndpointReport>& reports, double now_ms) {
   for (const auto& report : reports) {
     auto has_id = [&](EndpointIndex index) { return endpoints_[index].id == report.id; };
@@ -227,7 +230,7 @@
     endpoint.load.reported_at_ms = reported_at_ms;
     endpoint.outlier.failure_share = report.failure_share;
     endpoint.load.response_ms = report.response_ms;
-    // A balancer that rejects everything after its start learns the typical response from others alone.
+    // A balancer that rejects all requests since its start learns the typical response from gossip only.
     if (report.response_ms > 0) update_typical_response(endpoint, reported_at_ms, now_ms);
   }
 }
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -154,7 +154,7 @@
 
 bool OutlierDetector::unresponsive(const Endpoint& endpoint, double now_ms) const {
   if (endpoint.in_flight <= 0) return false;
-  double quiet_ms = now_ms - endpoint.last_sign_at_ms;
+  double quiet_ms = now_ms - endpoint.last_activity_at_ms;
   double multiplier = 1 + (unresponsive_multiplier - 1) / endpoint.in_flight;
   bool is_long = quiet_ms > std::max(min_unresponsive_ms, multiplier * p95_latency_ms_);
   bool others_answer = now_ms - last_answer_at_ms_ < quiet_ms / 2;
--- a/src/policy/policy_core.cpp
+++ b/src/policy/policy_core.cpp
@@ -279,12 +279,12 @@
   auto& endpoint = endpoints_[attempt.endpoint];
   attempt.counted_in_flight = true;
   endpoints_.add_in_flight(1);
-  if (endpoint.in_flight++ == 0) endpoint.last_sign_at_ms = now_ms;
+  if (endpoint.in_flight++ == 0) endpoint.last_activity_at_ms = now_ms;
 }
 
 void Policy::Core::end_work(Attempt& attempt, double now_ms) {
   auto& endpoint = endpoints_[attempt.endpoint];
-  endpoint.last_sign_at_ms = now_ms;
+  endpoint.last_activity_at_ms = now_ms;
   if (!std::exchange(attempt.counted_in_flight, false)) return;
   endpoints_.add_in_flight(-1);
   endpoint.in_flight = std::max(0, endpoint.in_flight - 1);
--- a/tests/policy/class_mix.hpp
+++ b/tests/policy/class_mix.hpp
@@ -1,5 +1,5 @@
-// Simulates many balancers before a tier of servers, without sockets: requests of any mix of classes arrive,
-// and the share of each class that is answered within its latency target is counted.
+// Simulates many balancers in front of a tier of servers, without sockets. Requests of several classes
+// arrive; the result is the share of each class that is answered within its latency target.
 #pragma once
 
 #include <cmath>
@@ -16,126 +16,134 @@
 
 namespace meadowgauge::test {
 
+// A request class of the mix. `share` is its weight in the traffic; `spread` is the standard deviation of the
+// logarithm of the work.
 struct MixClass {
   double share = 1, work_ms = 50, spread = 0.5, target_ms = 500, timeout_ms = 1500, priority_weight = 1;
   std::string repeat = "idempotent", group = "all";
 };
 
+// The request classes, the balancers and servers, and the load of one simulation.
 struct Mix {
   std::vector<MixClass> classes = {};
-  int balancers = 10, servers = 8, slots = 2, zones = 1, stages = 1, attempts = 3;
-  double load = 0.4;  // of what the servers bear
-  double uneven = 0;  // standard deviation of the log of a balancer's part of the traffic
-  double surge = 0;   // the load from two thirds on; 0: as before
-  double seconds = 12, counted_from_s = 4;
-  bool copies = true;
+  int balancers = 10, servers = 8, slots_per_server = 2, zones = 1, stages = 1, attempts = 3;
+  double load = 0.4;          // share of the servers' capacity
+  double traffic_spread = 0;  // standard deviation of the logarithm of a balancer's share of the traffic
+  double surge_load = 0;      // load after two thirds of the time; 0: unchanged
+  double seconds = 12, measure_from_s = 4;
+  bool hedging_enabled = true;
   std::uint64_t seed = 1;
-  Settings more = {};
+  Settings extra_settings = {};
 };
 
-struct MixServed {
-  std::vector<double> in_time, rejected;  // shares of each class
-  std::vector<int> asked;
+// Results by request class, over the requests of the measured period.
+struct MixResult {
+  std::vector<double> in_time, rejected;  // shares of the class's requests
+  std::vector<int> request_counts;
 };
 
-inline Settings settings_of(const Mix& mix, int number) {
-  auto s = [](double v) { return std::to_string(v); };
-  Settings m{{"path_prefixes.count", std::to_string(mix.classes.size())},
-             {"limits.max_backend_fetches", std::to_string(mix.attempts)},
-             {"limits.second_copies", mix.copies ? "true" : "false"},
-             {"limits.cancelling", "true"},
-             {"replicas_of_me", std::to_string(mix.balancers)},
-             {"my_number", std::to_string(number)},
-             {"tick_ms", "5"}};
+// Policy settings of the balancer with this number.
+inline Settings make_settings(const Mix& mix, int number) {
+  auto s = [](double value) { return std::to_string(value); };
+  Settings settings{{"path_prefixes.count", std::to_string(mix.classes.size())},
+                    {"limits.max_backend_fetches", std::to_string(mix.attempts)},
+                    {"limits.second_copies", mix.hedging_enabled ? "true" : "false"},
+                    {"limits.cancelling", "true"},
+                    {"replicas_of_me", std::to_string(mix.balancers)},
+                    {"my_number", std::to_string(number)},
+                    {"tick_ms", "5"}};
   std::string zones, stages;
   for (int i = 0; i < mix.zones; ++i) zones += (i ? ",z" : "z") + std::to_string(i);
   for (int i = 0; i < mix.stages; ++i) stages += (i ? ",t" : "t") + std::to_string(i);
-  m["zones"] = zones;
-  m["stages"] = stages;
-  m["zone"] = std::to_string(number % mix.zones);
+  settings["zones"] = zones;
+  settings["stages"] = stages;
+  settings["zone"] = std::to_string(number % mix.zones);
   for (std::size_t i = 0; i < mix.classes.size(); ++i) {
-    const auto& c = mix.classes[i];
-    auto at = "path_prefixes." + std::to_string(i) + ".";
-    m[at + "repeat"] = c.repeat;
-    m[at + "group"] = c.group;
-    m[at + "key_ttl_ms"] = "5000";
-    m[at + "target_latency_ms"] = s(c.target_ms);
-    m[at + "client_timeout_ms"] = s(c.timeout_ms);
-    m[at + "earnings"] = s(c.priority_weight);
+    const auto& mix_class = mix.classes[i];
+    auto prefix = "path_prefixes." + std::to_string(i) + ".";
+    settings[prefix + "repeat"] = mix_class.repeat;
+    settings[prefix + "group"] = mix_class.group;
+    settings[prefix + "key_ttl_ms"] = "5000";
+    settings[prefix + "target_latency_ms"] = s(mix_class.target_ms);
+    settings[prefix + "client_timeout_ms"] = s(mix_class.timeout_ms);
+    settings[prefix + "earnings"] = s(mix_class.priority_weight);
   }
-  for (const auto& [name, value] : mix.more) m[name] = value;
-  return m;
+  for (const auto& [name, value] : mix.extra_settings) settings[name] = value;
+  return settings;
 }
 
-// One simulated day. Mode `module`: the policy decides; `plain`: each balancer picks the server with the
-// least of its own requests in flight, at random among equals.
-class MixDay {
+// One simulation run. Mode `full_policy`: the policy decides. Mode `baseline`: each balancer picks the server
+// with the fewest of its own requests in flight, at random among equals, and rejects nothing.
+class MixSimulation {
  public:
-  enum class Mode : std::uint8_t { module, plain };
+  enum class Mode : std::uint8_t { full_policy, baseline };
 
-  MixDay(const Mix& mix, Mode mode) : mix_(mix), mode_(mode), rng_(mix.seed) {
+  MixSimulation(const Mix& mix, Mode mode) : mix_(mix), mode_(mode), rng_(mix.seed) {
     servers_.resize(static_cast<std::size_t>(mix.servers));
-    served_.in_time.resize(mix.classes.size());
-    served_.rejected.resize(mix.classes.size());
-    served_.asked.resize(mix.classes.size());
+    result_.in_time.resize(mix.classes.size());
+    result_.rejected.resize(mix.classes.size());
+    result_.request_counts.resize(mix.classes.size());
     std::vector<EndpointEntry> list;
     for (int i = 0; i < mix.servers; ++i)
       list.push_back(
           {.endpoint = EndpointIndex{i}, .zone = i % mix.zones, .cell = i / 4, .weight = 1, .id = 1000u + i});
     std::normal_distribution<double> normal;
-    double mean_work = 0, shares = 0, parts = 0;
-    for (const auto& c : mix.classes) mean_work += c.share * c.work_ms, shares += c.share;
+    double mean_work = 0, shares = 0, sum_of_parts = 0;
+    for (const auto& mix_class : mix.classes)
+      mean_work += mix_class.share * mix_class.work_ms, shares += mix_class.share;
     for (int i = 0; i < mix.balancers; ++i) {
-      if (mode == Mode::module) {
-        policies_.push_back(std::make_unique<Policy>(settings_of(mix, i), mix.seed * 1000 + i, start_ms));
+      if (mode == Mode::full_policy) {
+        policies_.push_back(std::make_unique<Policy>(make_settings(mix, i), mix.seed * 1000 + i, start_ms));
         policies_.back()->update_endpoints(EndpointListUpdate::full, list, start_ms);
       }
-      own_out_.emplace_back(servers_.size());
-      parts_.push_back(std::exp(mix.uneven * normal(rng_)));
-      parts += parts_.back();
+      own_in_flight_.emplace_back(servers_.size());
+      rates_.push_back(std::exp(mix.traffic_spread * normal(rng_)));
+      sum_of_parts += rates_.back();
     }
-    // Requests a ms and balancer.
-    double rate = mix.load * mix.servers * mix.slots / (mean_work / shares);
-    for (auto& p : parts_) p *= rate / parts;
+    // Requests per ms of each balancer.
+    double rate = mix.load * mix.servers * mix.slots_per_server / (mean_work / shares);
+    for (auto& p : rates_) p *= rate / sum_of_parts;
     for (int i = 0; i < mix.balancers; ++i) {
-      if (mode == Mode::module) add(start_ms + uniform() * 100, Event::tick, i);
-      add(start_ms + gap(i, start_ms), Event::comes, i);
+      if (mode == Mode::full_policy) schedule(start_ms + uniform() * 100, Event::tick, i);
+      schedule(start_ms + draw_arrival_gap_ms(i, start_ms), Event::arrive, i);
     }
   }
 
-  MixServed play() {
+  MixResult run() {
     double end = start_ms + mix_.seconds * 1000;
     while (!events_.empty() && events_.top().at_ms < end) {
-      Event e = events_.top();
+      Event event = events_.top();
       events_.pop();
-      now_ms_ = e.at_ms;
-      step(e);
+      now_ms_ = event.at_ms;
+      handle(event);
     }
     for (std::size_t i = 0; i < mix_.classes.size(); ++i) {
-      served_.in_time[i] /= std::max(1, served_.asked[i]);
-      served_.rejected[i] /= std::max(1, served_.asked[i]);
+      result_.in_time[i] /= std::max(1, result_.request_counts[i]);
+      result_.rejected[i] /= std::max(1, result_.request_counts[i]);
     }
-    return served_;
+    return result_;
   }
 
  private:
   static constexpr double start_ms = 100000;
   struct Event {
-    enum Kind : std::uint8_t { tick, comes, asks, limit, done } kind = tick;
+    enum Kind : std::uint8_t { tick, arrive, decide_again, expire, finish } kind = tick;
     double at_ms = 0;
     std::uint64_t order = 0;
-    int who = 0;     // balancer, request or server
-    int number = 0;  // attempt
-    bool operator<(const Event& o) const { return at_ms != o.at_ms ? at_ms > o.at_ms : order > o.order; }
+    int target = 0;  // balancer, request or job, depending on the kind
+    int number = 0;  // attempt of the request
+    bool operator<(const Event& other) const {
+      return at_ms != other.at_ms ? at_ms > other.at_ms : order > other.order;
+    }
   };
-  struct Held {
-    Request v = {};
+  struct ActiveRequest {
+    Request request = {};
     int balancer = 0;
     double work = 0;
-    bool over = false;
+    bool has_response = false;
   };
   struct Job {
-    int request, number;
+    int request_id, number;
     double work;
   };
   struct Server {
@@ -144,125 +152,132 @@
   };
 
   double uniform() { return static_cast<double>(rng_()) / 4294967296.0; }
-  double gap(int i, double now_ms) {
-    bool surged = mix_.surge > 0 && now_ms > start_ms + mix_.seconds * 2000 / 3;
-    double rate = parts_[i] * (surged ? mix_.surge / mix_.load : 1);
+  double draw_arrival_gap_ms(int i, double now_ms) {
+    bool is_surging = mix_.surge_load > 0 && now_ms > start_ms + mix_.seconds * 2000 / 3;
+    double rate = rates_[i] * (is_surging ? mix_.surge_load / mix_.load : 1);
     return -std::log(1 - uniform()) / rate;
   }
-  void add(double at_ms, Event::Kind kind, int who, int number = 0) {
-    events_.push({.kind = kind, .at_ms = at_ms, .order = ++order_, .who = who, .number = number});
+  void schedule(double at_ms, Event::Kind kind, int target, int number = 0) {
+    events_.push({.kind = kind, .at_ms = at_ms, .order = ++order_, .target = target, .number = number});
   }
-  [[nodiscard]] bool counts(const Request& v) const {
-    return v.arrived_ms >= start_ms + mix_.counted_from_s * 1000 &&
-           v.arrived_ms < start_ms + mix_.seconds * 1000 - longest();
+  [[nodiscard]] bool is_measured(const Request& request) const {
+    return request.arrived_ms >= start_ms + mix_.measure_from_s * 1000 &&
+           request.arrived_ms < start_ms + mix_.seconds * 1000 - measurement_margin_ms();
   }
-  [[nodiscard]] double longest() const {
-    double most = 0;
-    for (const auto& c : mix_.classes) most = std::max(most, c.timeout_ms);
-    return std::min(most, mix_.seconds * 250);
+  [[nodiscard]] double measurement_margin_ms() const {
+    double max_timeout_ms = 0;
+    for (const auto& mix_class : mix_.classes)
+      max_timeout_ms = std::max(max_timeout_ms, mix_class.timeout_ms);
+    return std::min(max_timeout_ms, mix_.seconds * 250);
   }
 
-  void step(const Event& e) {
-    switch (e.kind) {
+  void handle(const Event& event) {
+    switch (event.kind) {
       case Event::tick:
-        static_cast<void>(policies_[e.who]->tick(now_ms_));
-        return add(now_ms_ + policies_[e.who]->tick_interval_ms(), Event::tick, e.who);
-      case Event::comes:
-        add(now_ms_ + gap(e.who, now_ms_), Event::comes, e.who);
-        return comes(e.who);
-      case Event::asks:
-        if (!held_[e.who].v.answered) carry_out(e.who, policy(e.who).decide(held_[e.who].v, now_ms_));
+        static_cast<void>(policies_[event.target]->tick(now_ms_));
+        return schedule(now_ms_ + policies_[event.target]->tick_interval_ms(), Event::tick, event.target);
+      case Event::arrive:
+        schedule(now_ms_ + draw_arrival_gap_ms(event.target, now_ms_), Event::arrive, event.target);
+        return arrive(event.target);
+      case Event::decide_again:
+        if (!requests_[event.target].request.answered)
+          apply(event.target, policy(event.target).decide(requests_[event.target].request, now_ms_));
         return;
-      case Event::limit:
-        return ended(e.who, e.number, Outcome::timeout);
-      case Event::done:
-        return done(e.who, e.number);
+      case Event::expire:
+        return end_attempt(event.target, event.number, Outcome::timeout);
+      case Event::finish:
+        return finish(event.target, event.number);
     }
   }
 
-  Policy& policy(int request) { return *policies_[held_[request].balancer]; }
+  Policy& policy(int request_id) { return *policies_[requests_[request_id].balancer]; }
 
-  void comes(int balancer) {
+  void arrive(int balancer) {
     double sum = 0;
-    for (const auto& c : mix_.classes) sum += c.share;
-    double left = uniform() * sum;
+    for (const auto& mix_class : mix_.classes) sum += mix_class.share;
+    double remaining = uniform() * sum;
     std::size_t i = 0;
-    while (i + 1 < mix_.classes.size() && (left -= mix_.classes[i].share) > 0) ++i;
-    const auto& c = mix_.classes[i];
-    int id = static_cast<int>(held_.size());
+    while (i + 1 < mix_.classes.size() && (remaining -= mix_.classes[i].share) > 0) ++i;
+    const auto& mix_class = mix_.classes[i];
+    int id = static_cast<int>(requests_.size());
     std::normal_distribution<double> normal;
-    held_.push_back({.balancer = balancer,
-                     .work = c.work_ms * std::exp(c.spread * normal(rng_) - c.spread * c.spread / 2)});
-    auto& v = held_.back().v;
-    v.request_class = static_cast<int>(i);
-    v.arrived_ms = now_ms_;
-    v.deadline_ms = now_ms_ + c.timeout_ms;
-    if (counts(v)) ++served_.asked[i];
-    if (mode_ == Mode::module) return carry_out(id, policy(id).decide(v, now_ms_));
-    auto& out = own_out_[balancer];
-    int pick = 0, equal = 0;
+    requests_.push_back({.balancer = balancer,
+                         .work = mix_class.work_ms * std::exp(mix_class.spread * normal(rng_) -
+                                                              mix_class.spread * mix_class.spread / 2)});
+    auto& request = requests_.back().request;
+    request.request_class = static_cast<int>(i);
+    request.arrived_ms = now_ms_;
+    request.deadline_ms = now_ms_ + mix_class.timeout_ms;
+    if (is_measured(request)) ++result_.request_counts[i];
+    if (mode_ == Mode::full_policy) return apply(id, policy(id).decide(request, now_ms_));
+    auto& own_counts = own_in_flight_[balancer];
+    int picked = 0, tie_count = 0;
     for (int s = 0; s < mix_.servers; ++s) {
-      if (out[s] < out[pick]) pick = s, equal = 0;
-      if (out[s] == out[pick] && uniform() * ++equal < 1) pick = s;
+      if (own_counts[s] < own_counts[picked]) picked = s, tie_count = 0;
+      if (own_counts[s] == own_counts[picked] && uniform() * ++tie_count < 1) picked = s;
     }
-    ++out[pick];
-    v.attempts[v.attempt_count++] = {
-        .endpoint = EndpointIndex{pick}, .sent_at_ms = now_ms_, .in_flight = true};
-    start_job(pick, {id, 0, held_[id].work});
-    add(v.deadline_ms, Event::limit, id, 0);
+    ++own_counts[picked];
+    request.attempts[request.attempt_count++] = {
+        .endpoint = EndpointIndex{picked}, .sent_at_ms = now_ms_, .in_flight = true};
+    start_job(picked, {id, 0, requests_[id].work});
+    schedule(request.deadline_ms, Event::expire, id, 0);
   }
 
-  void carry_out(int id, const Decision& a) {
-    auto& h = held_[id];
-    if (a.kind == Decision::attempt || a.kind == Decision::wait) {
-      auto p = policy(id).attempt_timeout(h.v, now_ms_);
-      if (p.ask_again_ms != never) add(now_ms_ + p.ask_again_ms, Event::asks, id);
-      if (a.kind == Decision::attempt) {
-        add(now_ms_ + p.limit_ms, Event::limit, id, h.v.attempt_count - 1);
-        start_job(static_cast<int>(a.endpoint), {id, h.v.attempt_count - 1, h.work});
+  void apply(int id, const Decision& decision) {
+    auto& active = requests_[id];
+    if (decision.kind == Decision::attempt || decision.kind == Decision::wait) {
+      auto p = policy(id).attempt_timeout(active.request, now_ms_);
+      if (p.ask_again_ms != never) schedule(now_ms_ + p.ask_again_ms, Event::decide_again, id);
+      if (decision.kind == Decision::attempt) {
+        schedule(now_ms_ + p.limit_ms, Event::expire, id, active.request.attempt_count - 1);
+        start_job(static_cast<int>(decision.endpoint), {id, active.request.attempt_count - 1, active.work});
       }
-    } else if (a.kind == Decision::reject && counts(h.v)) {
-      ++served_.rejected[h.v.request_class];
+    } else if (decision.kind == Decision::reject && is_measured(active.request)) {
+      ++result_.rejected[active.request.request_class];
     }
     for (int n = 0; n < max_attempts; ++n)
-      if (a.cancel >> n & 1) ended(id, n, Outcome::cancelled);
+      if (decision.cancel >> n & 1) end_attempt(id, n, Outcome::cancelled);
   }
 
   void start_job(int server, Job job) {
     auto& s = servers_[server];
     s.waiting.push_back(job);
-    next(server);
+    start_waiting_jobs(server);
   }
-  void next(int server) {
+  void start_waiting_jobs(int server) {
     auto& s = servers_[server];
-    for (; s.busy < mix_.slots && !s.waiting.empty(); ++s.busy) {
+    for (; s.busy < mix_.slots_per_server && !s.waiting.empty(); ++s.busy) {
       auto job = s.waiting.front();
       s.waiting.pop_front();
       jobs_.emplace_back(server, job);
-      add(now_ms_ + job.work, Event::done, static_cast<int>(jobs_.size()) - 1);
+      schedule(now_ms_ + job.work, Event::finish, static_cast<int>(jobs_.size()) - 1);
     }
   }
-  void done(int number, int) {
+  void finish(int number, int) {
     auto [server, job] = jobs_[number];
     --servers_[server].busy;
-    ended(job.request, job.number, Outcome::succeeded);
-    next(server);
+    end_attempt(job.request_id, job.number, Outcome::succeeded);
+    start_waiting_jobs(server);
   }
-  void ended(int id, int number, Outcome outcome) {
-    auto& h = held_[id];
-    auto& f = h.v.attempts[number];
-    if (!f.in_flight) return;
-    bool answers = outcome == Outcome::succeeded && !h.over && !h.v.answered;
-    if (answers) h.over = true;
-    if (answers && counts(h.v) && now_ms_ - h.v.arrived_ms <= mix_.classes[h.v.request_class].target_ms)
-      ++served_.in_time[h.v.request_class];
-    if (mode_ == Mode::module)
-      return carry_out(
-          id, policy(id).attempt_ended(
-                  h.v, {.attempt = number, .outcome = outcome, .request_closed = answers, .load_report = {}},
-                  now_ms_));
-    f.in_flight = false;
-    --own_out_[h.balancer][position_of(f.endpoint)];
+  void end_attempt(int id, int number, Outcome outcome) {
+    auto& active = requests_[id];
+    auto& sent_attempt = active.request.attempts[number];
+    if (!sent_attempt.in_flight) return;
+    bool is_first_response =
+        outcome == Outcome::succeeded && !active.has_response && !active.request.answered;
+    if (is_first_response) active.has_response = true;
+    if (is_first_response && is_measured(active.request) &&
+        now_ms_ - active.request.arrived_ms <= mix_.classes[active.request.request_class].target_ms)
+      ++result_.in_time[active.request.request_class];
+    if (mode_ == Mode::full_policy)
+      return apply(
+          id,
+          policy(id).attempt_ended(
+              active.request,
+              {.attempt = number, .outcome = outcome, .request_closed = is_first_response, .load_report = {}},
+              now_ms_));
+    sent_attempt.in_flight = false;
+    --own_in_flight_[active.balancer][position_of(sent_attempt.endpoint)];
   }
 
   Mix mix_;
@@ -272,12 +287,12 @@
   std::uint64_t order_ = 0;
   std::priority_queue<Event> events_;
   std::vector<std::unique_ptr<Policy>> policies_;
-  std::vector<std::vector<int>> own_out_;
-  std::vector<double> parts_;
-  std::deque<Held> held_;
+  std::vector<std::vector<int>> own_in_flight_;
+  std::vector<double> rates_;
+  std::deque<ActiveRequest> requests_;
   std::vector<std::pair<int, Job>> jobs_;
   std::vector<Server> servers_;
-  MixServed served_;
+  MixResult result_;
 };
 
 }  // namespace meadowgauge::test
--- a/tests/policy/decision_digest/cases.hpp
+++ b/tests/policy/decision_digest/cases.hpp
@@ -1,5 +1,5 @@
-// The cases of the decision digest: settings of each kind, and the digest of all their days. A change that
-// mends a decision replaces these constants and says so in its commit.
+// The cases of the decision digest: settings, load, and the expected digest of all days. A commit that
+// changes a decision on purpose replaces these constants and says so.
 #pragma once
 
 #include <cstdint>
@@ -14,24 +14,24 @@
 constexpr int default_steps = 500;
 constexpr int long_steps = 3000;
 
-// Settings and load of the days, and the digest that they have.
+// Settings and load of the generated days, and their expected digest.
 struct DigestCase {
   const char* name;
   Settings settings;
   int servers;
   double arrivals_per_ms;
-  std::uint64_t expected;         // the digest of all seeds
+  std::uint64_t expected;         // digest over all seeds
   bool starts_in_outage = false;  // all servers reject for most of the day
   int day_steps = default_steps;
 };
 
-// `more` over `base`.
-inline Settings with(Settings base, const Settings& more) {
-  for (const auto& [key, value] : more) base[key] = value;
+// Returns `base` with the values of `overrides` added or overwritten.
+inline Settings merge_settings(Settings base, const Settings& overrides) {
+  for (const auto& [key, value] : overrides) base[key] = value;
   return base;
 }
 
-// Six request classes with all kinds of repetition and group; no load reports.
+// Six request classes that cover all `repeat` and `group` values; no load reports.
 inline Settings base_settings() {
   Settings s{{"path_prefixes.count", "6"},
              {"limits.max_backend_fetches", "4"},
@@ -49,12 +49,12 @@
                            "idempotent", "deduplicated", "deduplicated"};
   const char* groups[] = {"all", "all", "all", "all", "zone", "cell"};
   for (int i = 0; i < 6; ++i) {
-    auto at = "path_prefixes." + std::to_string(i) + ".";
-    s[at + "repeat"] = repeats[i];
-    s[at + "group"] = groups[i];
-    s[at + "key_ttl_ms"] = i == 5 ? "500" : "4000";
-    s[at + "target_latency_ms"] = i == 3 ? "100" : "400";
-    s[at + "earnings"] = i == 0 ? "4" : "1";
+    auto prefix = "path_prefixes." + std::to_string(i) + ".";
+    s[prefix + "repeat"] = repeats[i];
+    s[prefix + "group"] = groups[i];
+    s[prefix + "key_ttl_ms"] = i == 5 ? "500" : "4000";
+    s[prefix + "target_latency_ms"] = i == 3 ? "100" : "400";
+    s[prefix + "earnings"] = i == 0 ? "4" : "1";
   }
   return s;
 }
@@ -74,9 +74,10 @@
                               {"tenants.1.quota_rps", "9"}, {"tenants.2.share", "0.5"}};
 inline const Settings unreadable{{"tick_ms", "five"}, {"rules.cold_share", "nan"}, {"replicas_of_me", ""}};
 
-inline Settings all_of(std::initializer_list<Settings> parts) {
+// The base settings with all parts applied in order.
+inline Settings base_settings_with(std::initializer_list<Settings> parts) {
   Settings s = base_settings();
-  for (const auto& part : parts) s = with(s, part);
+  for (const auto& part : parts) s = merge_settings(s, part);
   return s;
 }
 
@@ -84,31 +85,38 @@
   return {
       {"plain", base_settings(), 6, 0.1, 0xde4724f627400a02},
       {"without_settings", {{"report.how", "off"}}, 5, 0.1, 0x4a0b120eece26066},
-      {"unreadable", all_of({unreadable, subscribing}), 5, 0.1, 0x4bb040a44ecdd95f},
+      {"unreadable", base_settings_with({unreadable, subscribing}), 5, 0.1, 0x4bb040a44ecdd95f},
       {"overload", base_settings(), 4, 0.6, 0x976ce08b3e99a97f},
       {"outage", base_settings(), 4, 1, 0x31ba5583442b0d63, true},
       {"long_day", base_settings(), 5, 0.05, 0xe4eb6c98cffc37f3, false, long_steps},
-      {"second_copies", all_of({hedging}), 6, 0.1, 0x1648a6baf9f0b7},
-      {"subscribing", all_of({subscribing, hedging}), 6, 0.1, 0x5f8039cd78bddf29},
-      {"tenants", all_of({tenants}), 4, 0.4, 0xfda784a1223cc9fe},
-      {"zones", all_of({zones, share_reports}), 9, 0.2, 0x1c5edf563f39a9e},
-      {"zones_without_reports", all_of({zones}), 9, 0.2, 0x4927e0d8b5c4aad4},
-      {"inline_reports", all_of({inline_reports}), 6, 0.2, 0x776c2b93dba8df58},
-      {"gossip", all_of({inline_reports, gossiping, hundred_replicas}), 8, 0.1, 0x93e08ae3d42b572d},
-      {"gossip_of_four", all_of({inline_reports, gossiping, {{"replicas_of_me", "4"}}, hedging}), 8, 0.2,
-       0x4ffab61b6e9cbf36},
-      {"warm_keys", all_of({inline_reports, {{"specifics.warm_keys", "true"}}}), 8, 0.2, 0xb6a14196bd0942d3},
+      {"second_copies", base_settings_with({hedging}), 6, 0.1, 0x1648a6baf9f0b7},
+      {"subscribing", base_settings_with({subscribing, hedging}), 6, 0.1, 0x5f8039cd78bddf29},
+      {"tenants", base_settings_with({tenants}), 4, 0.4, 0xfda784a1223cc9fe},
+      {"zones", base_settings_with({zones, share_reports}), 9, 0.2, 0x1c5edf563f39a9e},
+      {"zones_without_reports", base_settings_with({zones}), 9, 0.2, 0x4927e0d8b5c4aad4},
+      {"inline_reports", base_settings_with({inline_reports}), 6, 0.2, 0x776c2b93dba8df58},
+      {"gossip", base_settings_with({inline_reports, gossiping, hundred_replicas}), 8, 0.1,
+       0x93e08ae3d42b572d},
+      {"gossip_of_four", base_settings_with({inline_reports, gossiping, {{"replicas_of_me", "4"}}, hedging}),
+       8, 0.2, 0x4ffab61b6e9cbf36},
+      {"warm_keys", base_settings_with({inline_reports, {{"specifics.warm_keys", "true"}}}), 8, 0.2,
+       0xb6a14196bd0942d3},
       {"warm_keys_gossip_zones",
-       all_of({inline_reports, gossiping, hundred_replicas, zones, {{"specifics.warm_keys", "true"}}}), 12,
-       0.1, 0x25039e0ddde50067},
-      {"probes", all_of({probe_reports, hedging}), 8, 0.2, 0x27c60a8f75410013},
-      {"probes_zones_hundred", all_of({probe_reports, hundred_replicas, zones}), 30, 0.2, 0xaf042bfbb201a3fb},
-      {"hundred_replicas", all_of({hundred_replicas, share_reports}), 40, 0.1, 0x5444e2403f4eadf3},
-      {"second_stage", all_of({second_stage, hedging, share_reports}), 6, 0.2, 0x49a7035145878137},
+       base_settings_with(
+           {inline_reports, gossiping, hundred_replicas, zones, {{"specifics.warm_keys", "true"}}}),
+       12, 0.1, 0x25039e0ddde50067},
+      {"probes", base_settings_with({probe_reports, hedging}), 8, 0.2, 0x27c60a8f75410013},
+      {"probes_zones_hundred", base_settings_with({probe_reports, hundred_replicas, zones}), 30, 0.2,
+       0xaf042bfbb201a3fb},
+      {"hundred_replicas", base_settings_with({hundred_replicas, share_reports}), 40, 0.1,
+       0x5444e2403f4eadf3},
+      {"second_stage", base_settings_with({second_stage, hedging, share_reports}), 6, 0.2,
+       0x49a7035145878137},
       {"everything",
-       all_of({probe_reports, zones, subscribing, hedging, tenants, second_stage, {{"stage", "0"}}}), 9, 0.4,
-       0x611959c7d18440f1},
-      {"live_weights", all_of({{{"weights", "live"}, {"limits.cancelling", "false"}}}), 6, 0.3,
+       base_settings_with(
+           {probe_reports, zones, subscribing, hedging, tenants, second_stage, {{"stage", "0"}}}),
+       9, 0.4, 0x611959c7d18440f1},
+      {"live_weights", base_settings_with({{{"weights", "live"}, {"limits.cancelling", "false"}}}), 6, 0.3,
        0x4d2fa8d8ecdf9d85},
   };
 }
--- a/tests/policy/decision_digest/digest.hpp
+++ b/tests/policy/decision_digest/digest.hpp
@@ -1,5 +1,5 @@
-// The generator that drives the days and the digest of what the policy answers. Both are of these tests
-// alone, so that no change of the policy's own draws changes a day.
+// The random generator of the generated days, and the digest of the policy's decisions. Neither is shared
+// with the policy, so that a change of the policy's random draws does not change a day.
 #pragma once
 
 #include <bit>
@@ -8,7 +8,7 @@
 
 namespace meadowgauge::test::decision_digest {
 
-// SplitMix64.
+// Random generator: SplitMix64.
 class Generator {
  public:
   explicit Generator(std::uint64_t seed) : state_(seed) {}
@@ -26,7 +26,7 @@
   std::uint64_t state_;
 };
 
-// FNV-1a over 64 bits; doubles by their bits.
+// 64-bit FNV-1a hash. Doubles are added by their bit patterns.
 class Digest {
  public:
   void add(std::uint64_t value) {
--- a/tests/policy/decision_digest/generated_day.hpp
+++ b/tests/policy/decision_digest/generated_day.hpp
@@ -1,5 +1,5 @@
 // A generated day of a small tier: requests, servers that fail in several ways, endpoint lists, gossip and
-// restarts, all drawn from one seed and played to a policy without sockets.
+// restarts, all drawn from one seed and applied to a policy without sockets.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 constexpr int outage_steps = 350;
 
-// One generated day of one tier behind one balancer. All that the policy answers goes into the digest.
+// Runs one generated day of one tier behind one balancer and adds all decisions of the policy to the digest.
 class GeneratedDay {
  public:
   GeneratedDay(const DigestCase& digest_case, std::uint64_t seed, Digest& digest)
@@ -41,9 +41,9 @@
   void run() {
     for (int step = 0; step < case_.day_steps; ++step) {
       now_ms_ += 1 + rng_.below(20);
-      outage_ = case_.starts_in_outage && step < outage_steps;
+      is_outage_ = case_.starts_in_outage && step < outage_steps;
       handle_due_events();
-      arrive();
+      submit_due_requests();
       if (now_ms_ >= next_tick_) tick();
       if (rng_.chance(0.08)) random_event();
     }
@@ -53,7 +53,7 @@
 
  private:
   // --- Requests -------------------------------------------------------------------------------------------
-  void arrive() {
+  void submit_due_requests() {
     double load = case_.arrivals_per_ms * load_factor_;
     for (; next_arrival_ <= now_ms_; next_arrival_ += (0.2 + 1.6 * rng_.uniform()) / load) {
       int id = next_id_++;
@@ -71,63 +71,63 @@
         v.body_incoming = true;
         open.body_complete_at_ms = now_ms_ + 200 * rng_.uniform();
       }
-      carry_out(id, policy_.decide(v, now_ms_));
+      apply_decision(id, policy_.decide(v, now_ms_));
     }
   }
 
-  void carry_out(int id, const Decision& a) {
-    digest_decision(a);
+  void apply_decision(int id, const Decision& decision) {
+    digest_decision(decision);
     auto& open = open_requests_[id];
     auto& v = open.request;
-    for (int n = 0; n < a.probe_count; ++n)
-      probes_.emplace_back(now_ms_ + 2 + 6 * rng_.uniform(), static_cast<int>(a.probes[n]));
-    if (a.kind == Decision::attempt || a.kind == Decision::wait) {
+    for (int n = 0; n < decision.probe_count; ++n)
+      probes_.emplace_back(now_ms_ + 2 + 6 * rng_.uniform(), static_cast<int>(decision.probes[n]));
+    if (decision.kind == Decision::attempt || decision.kind == Decision::wait) {
       auto p = policy_.attempt_timeout(v, now_ms_);
       digest_.add(p.limit_ms);
       digest_.add(p.ask_again_ms);
       open.ask_again_at_ms = p.ask_again_ms == never ? never : now_ms_ + p.ask_again_ms;
-      if (a.kind == Decision::attempt) start(open, static_cast<int>(a.endpoint), p.limit_ms);
+      if (decision.kind == Decision::attempt) start(open, static_cast<int>(decision.endpoint), p.limit_ms);
     }
     for (int n = 0; n < max_attempts; ++n)
-      if (a.cancel >> n & 1) end(id, n, Outcome::cancelled);
-    forget_if_done(id);
+      if (decision.cancel >> n & 1) end(id, n, Outcome::cancelled);
+    remove_if_done(id);
   }
 
-  void start(OpenRequest& open, int server, double limit) {
+  void start(OpenRequest& open, int server, double timeout_ms) {
     auto& s = servers_[static_cast<std::size_t>(server)];
     ++s.in_flight;
-    OpenRequest::Pending p{.times_out_at_ms = now_ms_ + limit};
-    double took = (10 + 40 * rng_.uniform()) * (1 + 0.3 * s.in_flight) / s.speed;
-    if (open.request.request_class == 3) took *= 0.2;
-    switch (outage_ ? Health::rejecting : s.health) {
-      case Health::well:
+    OpenRequest::Pending p{.times_out_at_ms = now_ms_ + timeout_ms};
+    double latency_ms = (10 + 40 * rng_.uniform()) * (1 + 0.3 * s.in_flight) / s.speed;
+    if (open.request.request_class == 3) latency_ms *= 0.2;
+    switch (is_outage_ ? Health::rejecting : s.health) {
+      case Health::healthy:
         if (rng_.chance(0.02)) p.outcome = Outcome::error;
         break;
       case Health::slow:
-        took *= 8;
+        latency_ms *= 8;
         break;
       case Health::failing:
-        took = 3;
+        latency_ms = 3;
         p.outcome = rng_.chance(0.8) ? Outcome::error : Outcome::succeeded;
         break;
       case Health::rejecting:
-        took = 2;
+        latency_ms = 2;
         p.outcome = rng_.chance(0.9) ? Outcome::rejected : Outcome::succeeded;
         break;
       case Health::silent:
-        took = never;
+        latency_ms = never;
         break;
       case Health::unreachable:
-        took = 1;
+        latency_ms = 1;
         p.outcome = rng_.chance(0.8) ? Outcome::unreachable : Outcome::superseded;
         break;
       case Health::resetting:
-        took *= 0.5;
+        latency_ms *= 0.5;
         p.outcome = Outcome::reset;
         break;
     }
-    p.ends_at_ms = now_ms_ + took;
-    if (p.outcome == Outcome::succeeded && rng_.chance(0.1)) p.starts_at_ms = now_ms_ + took / 2;
+    p.ends_at_ms = now_ms_ + latency_ms;
+    if (p.outcome == Outcome::succeeded && rng_.chance(0.1)) p.starts_at_ms = now_ms_ + latency_ms / 2;
     open.pending[open.request.attempt_count - 1] = p;
   }
 
@@ -137,19 +137,21 @@
     auto& v = it->second.request;
     int server = static_cast<int>(v.attempts[static_cast<std::size_t>(number)].endpoint);
     --servers_[static_cast<std::size_t>(server)].in_flight;
-    bool closes = outcome == Outcome::succeeded && !v.answered;
-    bool torn = v.streaming && outcome != Outcome::succeeded;
-    carry_out(id, policy_.attempt_ended(v, {number, outcome, closes || torn || v.answered, load_of(server)},
-                                        now_ms_));
+    bool completes_request = outcome == Outcome::succeeded && !v.answered;
+    bool is_truncated = v.streaming && outcome != Outcome::succeeded;
+    apply_decision(
+        id, policy_.attempt_ended(
+                v, {number, outcome, completes_request || is_truncated || v.answered, load_report_of(server)},
+                now_ms_));
   }
 
-  void forget_if_done(int id) {
+  void remove_if_done(int id) {
     auto it = open_requests_.find(id);
     if (it != open_requests_.end() && it->second.request.answered && it->second.request.in_flight == 0)
       open_requests_.erase(it);
   }
 
-  // Handles what was scheduled to happen by now, in the order of the requests.
+  // Handles all events that are due, in the order of the request ids.
   void handle_due_events() {
     std::vector<int> ids;
     for (const auto& [id, open] : open_requests_) ids.push_back(id);
@@ -160,7 +162,7 @@
       if (it->second.body_complete_at_ms <= now_ms_) body_complete(it->second);
       if (it->second.ask_again_at_ms > now_ms_) continue;
       it->second.ask_again_at_ms = never;
-      carry_out(id, policy_.decide(it->second.request, now_ms_));
+      apply_decision(id, policy_.decide(it->second.request, now_ms_));
     }
     std::erase_if(probes_, [this](auto probe) {
       if (probe.first > now_ms_) return false;
@@ -178,7 +180,7 @@
       p->second.starts_at_ms = never;
       p->second.ends_at_ms += 300;
       if (!it->second.request.streaming)
-        carry_out(id, policy_.response_started(it->second.request, number, now_ms_));
+        apply_decision(id, policy_.response_started(it->second.request, number, now_ms_));
       it = open_requests_.find(id);  // the decision may have ended the request
       if (it == open_requests_.end()) return;
       p = it->second.pending.find(number);
@@ -199,47 +201,47 @@
   }
 
   // --- Servers --------------------------------------------------------------------------------------------
-  LoadReport load_of(int server) {
+  LoadReport load_report_of(int server) {
     const auto& s = servers_[static_cast<std::size_t>(server)];
     if (case_.settings.at("report.how") == "off" || rng_.chance(0.05)) return {};
-    auto held = static_cast<float>(s.in_flight + rng_.below(3));
-    return {.count = 2, .values = {held / 4, held}};
+    auto in_flight_count = static_cast<float>(s.in_flight + rng_.below(3));
+    return {.count = 2, .values = {in_flight_count / 4, in_flight_count}};
   }
 
   void probe_ended(int server) {
     const auto& s = servers_[static_cast<std::size_t>(server)];
-    auto held = static_cast<float>(s.in_flight);
-    bool answers = s.health != Health::silent && s.health != Health::unreachable;
-    double took = 1 + 4 * rng_.uniform();
-    policy_.probe_ended(EndpointIndex{server}, answers ? Outcome::succeeded : Outcome::timeout, took,
-                        {.count = 2, .values = {held / 4, held}}, now_ms_);
+    auto in_flight_count = static_cast<float>(s.in_flight);
+    bool is_responsive = s.health != Health::silent && s.health != Health::unreachable;
+    double latency_ms = 1 + 4 * rng_.uniform();
+    policy_.probe_ended(EndpointIndex{server}, is_responsive ? Outcome::succeeded : Outcome::timeout,
+                        latency_ms, {.count = 2, .values = {in_flight_count / 4, in_flight_count}}, now_ms_);
   }
 
-  void server_changes() {
+  void change_server_health() {
     auto& s = servers_[static_cast<std::size_t>(rng_.below(case_.servers))];
-    s.health = rng_.chance(0.4) ? Health::well : static_cast<Health>(rng_.below(7));
+    s.health = rng_.chance(0.4) ? Health::healthy : static_cast<Health>(rng_.below(7));
   }
 
-  void list_changes() {
+  void change_endpoint_list() {
     int i = rng_.below(case_.servers);
-    auto& e = entries_[static_cast<std::size_t>(i)];
+    auto& entry = entries_[static_cast<std::size_t>(i)];
     switch (rng_.below(8)) {
       case 0:
-        e.state = EndpointState::gone;
+        entry.state = EndpointState::gone;
         break;
       case 1:
-        e.state = EndpointState::draining;
+        entry.state = EndpointState::draining;
         break;
       case 2:
       case 3:
-        e.state = EndpointState::ready;
-        e.up_since_ms = now_ms_;
+        entry.state = EndpointState::ready;
+        entry.up_since_ms = now_ms_;
         break;
       case 4:
-        e.weight = 0.5 + rng_.below(4) * 0.5;
+        entry.weight = 0.5 + rng_.below(4) * 0.5;
         break;
       case 5:
-        e.manually_drained = !e.manually_drained;
+        entry.manually_drained = !entry.manually_drained;
         break;
       default:
         for (auto& other : entries_)
@@ -247,7 +249,7 @@
         policy_.update_endpoints(EndpointListUpdate::full, entries_, now_ms_);
         return;
     }
-    EndpointEntry changed = e;
+    EndpointEntry changed = entry;
     policy_.update_endpoints(EndpointListUpdate::delta, {&changed, 1}, now_ms_);
   }
 
@@ -257,10 +259,10 @@
       case 0:
       case 1:
       case 2:
-        return server_changes();
+        return change_server_health();
       case 3:
       case 4:
-        return list_changes();
+        return change_endpoint_list();
       case 5:
         return policy_.update_endpoints(EndpointListUpdate::failed, {}, now_ms_);
       case 6:
@@ -271,10 +273,10 @@
       case 8:
         return manual_drain();
       case 9:
-        return gossip_arrives();
+        return receive_gossip();
       case 10:
       case 11:
-        return client_leaves();
+        return disconnect_client();
       case 12:
         return probe_ended(rng_.below(case_.servers));
       default:
@@ -283,13 +285,13 @@
   }
 
   void manual_drain() {
-    int i = rng_.below(case_.servers + 1);  // the last of them has never been listed
-    bool out = rng_.chance(0.4);
-    if (i < case_.servers) entries_[static_cast<std::size_t>(i)].manually_drained = out;
-    policy_.set_manual_drain(EndpointIndex{i}, out, now_ms_);
+    int i = rng_.below(case_.servers + 1);  // the last index has never been listed
+    bool is_drained = rng_.chance(0.4);
+    if (i < case_.servers) entries_[static_cast<std::size_t>(i)].manually_drained = is_drained;
+    policy_.set_manual_drain(EndpointIndex{i}, is_drained, now_ms_);
   }
 
-  void gossip_arrives() {
+  void receive_gossip() {
     GossipContent content;
     for (int n = rng_.below(6); n > 0; --n)
       content.endpoints.push_back({.id = 1000u + static_cast<std::uint32_t>(rng_.below(case_.servers + 2)),
@@ -302,13 +304,14 @@
     policy_.gossip_received(content, now_ms_);
   }
 
-  void client_leaves() {
+  void disconnect_client() {
     if (open_requests_.empty()) return;
     auto it = std::next(open_requests_.begin(), rng_.below(static_cast<int>(open_requests_.size())));
-    if (!it->second.request.answered) carry_out(it->first, policy_.client_left(it->second.request, now_ms_));
+    if (!it->second.request.answered)
+      apply_decision(it->first, policy_.client_left(it->second.request, now_ms_));
   }
 
-  // A successor takes over with what this one has learned; the open requests end with it.
+  // Replaces the policy by a successor with the learned state. The clients of all open requests disconnect.
   void restart_with_learned_state() {
     for (auto& [id, open] : open_requests_) digest_decision(policy_.client_left(open.request, now_ms_));
     open_requests_.clear();
@@ -322,23 +325,23 @@
   }
 
   void tick() {
-    auto c = policy_.tick(now_ms_);
+    auto actions = policy_.tick(now_ms_);
     next_tick_ = now_ms_ + policy_.tick_interval_ms();
-    digest_.add(static_cast<int>(c.subscribe));
-    digest_.add(static_cast<int>(c.lookup));
-    digest_.add(static_cast<std::uint64_t>(c.events.size()));
-    for (const auto& m : c.gossip) {
-      digest_.add(m.to);
-      for (const auto& w : m.content.endpoints) {
-        digest_.add(static_cast<std::uint64_t>(w.id));
-        for (double value : {w.response_ms, w.failure_share, w.age_ms}) digest_.add(value);
+    digest_.add(static_cast<int>(actions.subscribe));
+    digest_.add(static_cast<int>(actions.lookup));
+    digest_.add(static_cast<std::uint64_t>(actions.events.size()));
+    for (const auto& message : actions.gossip) {
+      digest_.add(message.to);
+      for (const auto& report : message.content.endpoints) {
+        digest_.add(static_cast<std::uint64_t>(report.id));
+        for (double value : {report.response_ms, report.failure_share, report.age_ms}) digest_.add(value);
       }
-      for (const auto& k : m.content.keys) {
-        digest_.add(static_cast<std::uint64_t>(k.key));
-        digest_.add(k.share);
+      for (const auto& key_share : message.content.keys) {
+        digest_.add(static_cast<std::uint64_t>(key_share.key));
+        digest_.add(key_share.share);
       }
     }
-    if (c.subscribe && rng_.chance(0.6))
+    if (actions.subscribe && rng_.chance(0.6))
       policy_.update_endpoints(EndpointListUpdate::full, entries_, now_ms_);
     std::vector<EndpointIndex> unhealthy;
     digest_.add(policy_.unavailable_endpoints(now_ms_, &unhealthy));
@@ -347,14 +350,14 @@
   }
 
   // --- The digest -----------------------------------------------------------------------------------------
-  void digest_decision(const Decision& a) {
-    digest_.add(static_cast<int>(a.kind));
-    digest_.add(static_cast<int>(a.endpoint));
-    digest_.add(a.retry_after_ms);
-    digest_.add(static_cast<std::uint64_t>(a.cancel));
-    for (int n = 0; n < a.probe_count; ++n)
-      digest_.add(static_cast<int>(a.probes[static_cast<std::size_t>(n)]));
-    digest_.add(static_cast<int>(a.reason));
+  void digest_decision(const Decision& decision) {
+    digest_.add(static_cast<int>(decision.kind));
+    digest_.add(static_cast<int>(decision.endpoint));
+    digest_.add(decision.retry_after_ms);
+    digest_.add(static_cast<std::uint64_t>(decision.cancel));
+    for (int n = 0; n < decision.probe_count; ++n)
+      digest_.add(static_cast<int>(decision.probes[static_cast<std::size_t>(n)]));
+    digest_.add(static_cast<int>(decision.reason));
   }
 
   void digest_learned_state() {
@@ -376,9 +379,9 @@
   std::vector<Server> servers_;
   std::vector<EndpointEntry> entries_;
   std::map<int, OpenRequest> open_requests_;
-  std::vector<std::pair<double, int>> probes_;  // when they end, and the server
+  std::vector<std::pair<double, int>> probes_;  // end time in ms, and the server
   int next_id_ = 0;
-  bool outage_ = false;
+  bool is_outage_ = false;
 };
 
 }  // namespace meadowgauge::test::decision_digest
--- a/tests/policy/decision_digest/model.hpp
+++ b/tests/policy/decision_digest/model.hpp
@@ -1,4 +1,4 @@
-// The servers and the open requests of a generated day.
+// The simulated servers and the open requests of a generated day.
 #pragma once
 
 #include <map>
@@ -7,16 +7,17 @@
 
 namespace meadowgauge::test::decision_digest {
 
-// What a server does with requests.
-enum class Health { well, slow, failing, rejecting, silent, unreachable, resetting };
+// How a simulated server treats requests.
+enum class Health { healthy, slow, failing, rejecting, silent, unreachable, resetting };
 
+// A simulated server. Its latency is divided by `speed`.
 struct Server {
-  Health health = Health::well;
+  Health health = Health::healthy;
   double speed = 1;
   int in_flight = 0;
 };
 
-// A request that has not ended, with what is scheduled to happen to it.
+// A request that has not ended, with the times of its scheduled events.
 struct OpenRequest {
   Request request;
   double ask_again_at_ms = never;
@@ -27,7 +28,7 @@
     double starts_at_ms = never;
     Outcome outcome = Outcome::succeeded;
   };
-  std::map<int, Pending> pending;  // by the attempt's number
+  std::map<int, Pending> pending;  // attempts in flight, by number
 };
 
 }  // namespace meadowgauge::test::decision_digest
--- a/tests/policy/decision_digest_test.cpp
+++ b/tests/policy/decision_digest_test.cpp
@@ -1,12 +1,13 @@
-// Holds the policy to its decisions: generated days of a small tier, and a digest of all answers for each
-// kind of settings. A change of form leaves every digest as it is; a change of a decision names it and
-// replaces the constants (decision_digest/cases.hpp).
+// Detects unintended changes of the policy's decisions. For each case of settings, generated days of a small
+// tier are run, and a digest over all decisions is compared with a constant (decision_digest/cases.hpp).
+// Refactoring must not change a digest. A commit that changes a decision on purpose says so and replaces the
+// constants.
 //
-// The days have a random generator of their own, so that they do not depend on the policy's draws. Of log
-// events only the number enters the digest.
+// The days use a random generator of their own and do not depend on the random numbers that the policy draws.
+// Of log events only the number enters the digest.
 //
-// The digests hold for IEEE doubles and a C library whose exp, log and sqrt round alike: where all of them
-// differ at once without a change of src/policy, suspect the library.
+// The digests depend on IEEE doubles and on the rounding of exp, log and sqrt in the C library: if all
+// digests differ at once without a change in src/policy, suspect the library.
 #include <gtest/gtest.h>
 
 #include <cstdint>
--- a/tests/policy/key_affinity_test.cpp
+++ b/tests/policy/key_affinity_test.cpp
@@ -1,4 +1,4 @@
-// Key affinity: which endpoint serves a key.
+// Tests of key affinity: which endpoint serves a key.
 #include <gtest/gtest.h>
 
 #include "policy/policy_test_support.hpp"
@@ -6,27 +6,29 @@
 namespace meadowgauge::test {
 namespace {
 
-// Endpoints cache recent keys, so all balancers send a key to the same endpoint, in whatever order it is
-// listed.
-TEST(KeyAffinity, SendsAKeyToTheServerThatAllBalancersRankFirst) {
-  auto server = [](std::uint64_t key, bool backwards) {
-    PolicyHarness w({}, 0, backwards ? 5 : 6, depth_reported);
+// Endpoints cache recent keys, so all balancers must send a key to the same endpoint, whatever the order of
+// their endpoint lists.
+TEST(KeyAffinity, BalancersSendAKeyToTheSameEndpoint) {
+  auto endpoint_id_for = [](std::uint64_t key, bool is_list_reversed) {
+    PolicyHarness harness({}, 0, is_list_reversed ? 5 : 6, depth_reported);
     for (int i = 0; i < 30; ++i)
-      w.entries.push_back({.endpoint = EndpointIndex{i}, .weight = 1, .id = 500u + (backwards ? 29 - i : i)});
-    w.update_endpoints(EndpointListUpdate::full, w.entries);
-    // Some requests first, so that a single one does not make a popular key.
-    for (std::uint64_t k = 1; k <= 60; ++k) {
-      int id = w.submit(0, 5000, 0, 1000 + k);
-      w.pass(50);
-      w.end(id, 0, Outcome::succeeded);
+      harness.entries.push_back(
+          {.endpoint = EndpointIndex{i}, .weight = 1, .id = 500u + (is_list_reversed ? 29 - i : i)});
+    harness.update_endpoints(EndpointListUpdate::full, harness.entries);
+    // Other requests first, so that a single request does not make its key popular.
+    for (std::uint64_t other_key = 1; other_key <= 60; ++other_key) {
+      int id = harness.submit(0, 5000, 0, 1000 + other_key);
+      harness.pass(50);
+      harness.end(id, 0, Outcome::succeeded);
     }
-    w.sends.clear();
-    w.submit(0, 5000, 0, key);
-    return w.entries[static_cast<std::size_t>(w.sends.begin()->first)].id;
+    harness.sends.clear();
+    harness.submit(0, 5000, 0, key);
+    return harness.entries[static_cast<std::size_t>(harness.sends.begin()->first)].id;
   };
-  int alike = 0;
-  for (std::uint64_t key = 1; key <= 20; ++key) alike += server(key, true) == server(key, false) ? 1 : 0;
-  EXPECT_GE(alike, 19);
+  int same_count = 0;
+  for (std::uint64_t key = 1; key <= 20; ++key)
+    same_count += endpoint_id_for(key, true) == endpoint_id_for(key, false) ? 1 : 0;
+  EXPECT_GE(same_count, 19);
 }
 
 }  // namespace
--- a/tests/policy/load_estimator_test.cpp
+++ b/tests/policy/load_estimator_test.cpp
@@ -1,4 +1,4 @@
-// The load estimator: probes, load reports and gossip.
+// Tests of the load estimator: probes, load reports and gossip.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -9,128 +9,134 @@
 namespace meadowgauge::test {
 namespace {
 
-// One of 400 balancers uses an endpoint once in half a minute: without probes its pick is no better than
-// random.
-TEST(Probes, SendEachRequestToTheLeastOfThoseProbed) {
-  PolicyHarness w({}, 20, 5, probes_only);
-  w.probe_of = [](int endpoint) { return LoadReport{2, {endpoint < 15 ? 3.0F : 0.0F, 0}}; };
-  w.stream(0, 200, 20000, [](int) { return 60.0; });
-  EXPECT_GT(sum_of(w.sends, 15, 20), 2 * sum_of(w.sends, 0, 15));
-  EXPECT_EQ(sum_of(w.probes, 0, 20), 5 * sum_of(w.sends, 0, 20));
-  EXPECT_TRUE(w.finals.empty());
+// One of 400 balancers uses an endpoint once in half a minute, so that without probes its pick is no better
+// than random.
+TEST(Probes, SendEachRequestToTheLeastLoadedProbed) {
+  PolicyHarness harness({}, 20, 5, probes_only);
+  harness.probe_of = [](int endpoint) { return LoadReport{2, {endpoint < 15 ? 3.0F : 0.0F, 0}}; };
+  harness.stream(0, 200, 20000, [](int) { return 60.0; });
+  EXPECT_GT(sum_of(harness.sends, 15, 20), 2 * sum_of(harness.sends, 0, 15));
+  EXPECT_EQ(sum_of(harness.probes, 0, 20), 5 * sum_of(harness.sends, 0, 20));
+  EXPECT_TRUE(harness.finals.empty());
 }
 
-// Failing probes delay no request and lose none.
-TEST(Probes, ThatFailDelayNoRequest) {
-  PolicyHarness w({}, 20, 5, probes_only);
-  w.stream(0, 200, 5000, [](int) { return 60.0; });
-  EXPECT_EQ(sum_of(w.sends, 0, 20), 25);
-  EXPECT_EQ(w.check.breach, "");
+// Requests must be sent without delay or loss when probes fail.
+TEST(Probes, FailuresDelayNoRequest) {
+  PolicyHarness harness({}, 20, 5, probes_only);
+  harness.stream(0, 200, 5000, [](int) { return 60.0; });
+  EXPECT_EQ(sum_of(harness.sends, 0, 20), 25);
+  EXPECT_EQ(harness.check.breach, "");
 }
 
-// A request is rejected at once if its own work, or the queue before it, exceeds the latency objective.
-TEST(Probes, RejectWhatWouldBeLate) {
-  PolicyHarness w({}, 20, 5, probes_only);
-  double ahead = 0;
-  w.probe_of = [&](int) { return LoadReport{2, {static_cast<float>(ahead), 0}}; };
-  for (int i = 0; i < 20; ++i) w.submit(0, 5000, 0, 0, 100), w.pass(200);
-  EXPECT_TRUE(w.finals.empty());
-  int heavy = w.submit(0, 5000, 0, 0, 6000);
-  w.pass(30);
-  EXPECT_EQ(w.finals.at(heavy), Decision::reject);
-  ahead = 40;
-  int late = w.submit(0, 5000, 0, 0, 100);
-  w.pass(30);
-  EXPECT_EQ(w.finals.at(late), Decision::reject);
+// A request is rejected at once if its own work or the queue ahead of it exceeds the latency objective.
+TEST(Probes, RejectRequestsThatWouldBeLate) {
+  PolicyHarness harness({}, 20, 5, probes_only);
+  double queue_depth = 0;
+  harness.probe_of = [&](int) { return LoadReport{2, {static_cast<float>(queue_depth), 0}}; };
+  for (int i = 0; i < 20; ++i) harness.submit(0, 5000, 0, 0, 100), harness.pass(200);
+  EXPECT_TRUE(harness.finals.empty());
+  int heavy_request = harness.submit(0, 5000, 0, 0, 6000);
+  harness.pass(30);
+  EXPECT_EQ(harness.finals.at(heavy_request), Decision::reject);
+  queue_depth = 40;
+  int late_request = harness.submit(0, 5000, 0, 0, 100);
+  harness.pass(30);
+  EXPECT_EQ(harness.finals.at(late_request), Decision::reject);
 }
 
-// Rejections by probes leave the throttle open; Retry-After follows the share rejected all the same.
-TEST(Probes, RejectionHasARetryAfter) {
-  PolicyHarness w({}, 20, 5,
-                  PolicyHarness::with(
-                      probes_only, {{"limits.retry_after", "true"}, {"limits.max_retry_after_ms", "2000"}}));
-  w.probe_of = [](int) { return LoadReport{2, {400, 0}}; };
-  for (int i = 0; i < 40; ++i) w.submit(0, 5000, 0, 0, 100), w.pass(30);
-  EXPECT_EQ(w.finals.size(), 40U);
-  EXPECT_GT(w.advised, 100);
-  EXPECT_LE(w.advised, 2000);
+// Rejections by probes do not activate the admission throttle, but Retry-After must still follow the share of
+// requests rejected.
+TEST(Probes, RejectionsCarryRetryAfter) {
+  PolicyHarness harness({}, 20, 5,
+                        PolicyHarness::with(probes_only, {{"limits.retry_after", "true"},
+                                                          {"limits.max_retry_after_ms", "2000"}}));
+  harness.probe_of = [](int) { return LoadReport{2, {400, 0}}; };
+  for (int i = 0; i < 40; ++i) harness.submit(0, 5000, 0, 0, 100), harness.pass(30);
+  EXPECT_EQ(harness.finals.size(), 40U);
+  EXPECT_GT(harness.advised, 100);
+  EXPECT_LE(harness.advised, 2000);
 }
 
-// A balancer avoids an endpoint that failed for others. Only gossip on endpoints of its own list counts;
-// damaged messages change nothing.
-TEST(Gossip, ChangesThePicksOfOthersAndNothingElse) {
-  auto sends_after_gossip = [](int endpoint, int voices, auto spoil) {
-    PolicyHarness a({}, 30, 5, depth_reported), b({}, 30, 6, depth_reported);
-    a.load_report_of = [](int) { return LoadReport{2, {80, 0}}; };
-    for (int i = 0; i < voices; ++i) {
+// A balancer avoids an endpoint after another balancer has reported failures of it. Truncated, altered or
+// malformed messages have no effect.
+TEST(Gossip, ReportedFailuresReducePicksOfTheEndpoint) {
+  auto sends_after_gossip = [](int endpoint, int failure_count, auto corrupt) {
+    PolicyHarness sender({}, 30, 5, depth_reported), receiver({}, 30, 6, depth_reported);
+    sender.load_report_of = [](int) { return LoadReport{2, {80, 0}}; };
+    for (int i = 0; i < failure_count; ++i) {
       int tries = 0;
-      for (; tries < 400; ++tries) {  // requests with other keys until one is sent to that server
-        int id = a.submit(0, 5000, 0, 7000 + 400 * i + tries);
-        bool met = a.requests.contains(id) && a.requests.at(id).v.attempt_count > 0 &&
-                   a.requests.at(id).v.attempts[0].endpoint == EndpointIndex{endpoint};
-        a.end(id, 0, met ? Outcome::reset : Outcome::succeeded);
-        if (met) break;
+      for (; tries < 400; ++tries) {  // requests with new keys until one is sent to that endpoint
+        int id = sender.submit(0, 5000, 0, 7000 + 400 * i + tries);
+        bool is_sent_to_endpoint = sender.requests.contains(id) &&
+                                   sender.requests.at(id).v.attempt_count > 0 &&
+                                   sender.requests.at(id).v.attempts[0].endpoint == EndpointIndex{endpoint};
+        sender.end(id, 0, is_sent_to_endpoint ? Outcome::reset : Outcome::succeeded);
+        if (is_sent_to_endpoint) break;
       }
     }
-    a.gossip.clear();
-    a.pass(600);
-    for (auto& m : a.gossip)
-      if (auto content = decode_gossip(spoil(encode_gossip(m.content))))
-        b.policy.gossip_received(*content, b.now_ms);
+    sender.gossip.clear();
+    sender.pass(600);
+    for (auto& message : sender.gossip)
+      if (auto content = decode_gossip(corrupt(encode_gossip(message.content))))
+        receiver.policy.gossip_received(*content, receiver.now_ms);
     for (int i = 0; i < 300; ++i) {
-      int id = b.submit(0, 5000, 0, 9000 + i);
-      b.end(id, 0, Outcome::succeeded);
+      int id = receiver.submit(0, 5000, 0, 9000 + i);
+      receiver.end(id, 0, Outcome::succeeded);
     }
-    return b.sends[endpoint];
+    return receiver.sends[endpoint];
   };
-  auto as_it_is = [](const std::string& m) { return m; };
-  EXPECT_LT(sends_after_gossip(4, 3, as_it_is), 3);
-  EXPECT_GE(sends_after_gossip(4, 3, [](const std::string& m) { return m.substr(0, m.size() - 1); }), 3);
-  EXPECT_GE(sends_after_gossip(4, 3, [](std::string m) { return m[9] ^= 1, m; }), 3);
+  auto unchanged = [](const std::string& message) { return message; };
+  EXPECT_LT(sends_after_gossip(4, 3, unchanged), 3);
+  EXPECT_GE(sends_after_gossip(
+                4, 3, [](const std::string& message) { return message.substr(0, message.size() - 1); }),
+            3);
+  EXPECT_GE(sends_after_gossip(4, 3, [](std::string message) { return message[9] ^= 1, message; }), 3);
   EXPECT_GE(sends_after_gossip(4, 3, [](const std::string&) { return std::string(4000, 'x'); }), 3);
 }
 
-TEST(Gossip, IsReadWholeOrNotAtAll) {
+TEST(Gossip, DecodesCompleteMessagesOnly) {
   GossipContent content{
       .endpoints = {{.id = 0xabcdef, .response_ms = 120, .failure_share = 0.5, .age_ms = 700}, {.id = 1}},
       .keys = {{.key = 0x123456, .share = 0.04}}};
-  auto m = encode_gossip(content);
-  EXPECT_LE(m.size(), 256U);
-  auto back = decode_gossip(m);
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->endpoints[0].id, 0xabcdefU);
-  EXPECT_NEAR(back->endpoints[0].response_ms, 120, 6);
-  EXPECT_EQ(back->endpoints[1].response_ms, 0);
-  EXPECT_NEAR(back->endpoints[0].age_ms, 700, 51);
-  EXPECT_NEAR(back->keys[0].share, 0.04, 0.003);
-  for (std::size_t n = 0; n < m.size(); ++n) EXPECT_FALSE(decode_gossip(m.substr(0, n))) << n;
-  EXPECT_FALSE(decode_gossip(m + '\0'));
-  std::mt19937 chance(5);
+  auto message = encode_gossip(content);
+  EXPECT_LE(message.size(), 256U);
+  auto decoded = decode_gossip(message);
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->endpoints[0].id, 0xabcdefU);
+  EXPECT_NEAR(decoded->endpoints[0].response_ms, 120, 6);
+  EXPECT_EQ(decoded->endpoints[1].response_ms, 0);
+  EXPECT_NEAR(decoded->endpoints[0].age_ms, 700, 51);
+  EXPECT_NEAR(decoded->keys[0].share, 0.04, 0.003);
+  for (std::size_t length = 0; length < message.size(); ++length)
+    EXPECT_FALSE(decode_gossip(message.substr(0, length))) << length;
+  EXPECT_FALSE(decode_gossip(message + '\0'));
+  std::mt19937 rng(5);
   for (int i = 0; i < 20000; ++i) {
-    std::string noise(chance() % 260, '\0');
-    for (auto& c : noise) c = static_cast<char>(chance());
-    if (!noise.empty()) noise[0] = 1;
-    decode_gossip(noise);
+    std::string random_bytes(rng() % 260, '\0');
+    for (auto& byte : random_bytes) byte = static_cast<char>(rng());
+    if (!random_bytes.empty()) random_bytes[0] = 1;
+    decode_gossip(random_bytes);
   }
-  GossipContent many;
-  many.endpoints.resize(1000);
-  many.keys.resize(1000);
-  EXPECT_LE(encode_gossip(many).size(), 256U);
+  GossipContent oversized;
+  oversized.endpoints.resize(1000);
+  oversized.keys.resize(1000);
+  EXPECT_LE(encode_gossip(oversized).size(), 256U);
 }
 
-// A balancer that rejects everything learns nothing new: its last reports must lose their weight.
-TEST(Gossip, OfAnOverloadIsForgottenOnceNoneComes) {
-  PolicyHarness w({}, 30, 5, depth_reported);
-  w.load_report_of = [](int) { return LoadReport{2, {3000, 25}}; };
+// A balancer that rejects all requests receives no new reports. The last reports must lose their weight, or
+// it would never admit requests again.
+TEST(Gossip, OverloadIsForgottenWithoutNewReports) {
+  PolicyHarness harness({}, 30, 5, depth_reported);
+  harness.load_report_of = [](int) { return LoadReport{2, {3000, 25}}; };
   for (int i = 0; i < 60; ++i) {
-    int id = w.submit(0, 5000, 0, 100 + i % 30);
-    w.pass(20);
-    w.end(id, 0, Outcome::succeeded);
+    int id = harness.submit(0, 5000, 0, 100 + i % 30);
+    harness.pass(20);
+    harness.end(id, 0, Outcome::succeeded);
   }
-  w.pass(5000);
-  w.finals.clear();
-  for (int i = 0; i < 10; ++i) w.submit(0, 5000, 0, 100 + i), w.pass(100);
-  EXPECT_TRUE(w.finals.empty());
+  harness.pass(5000);
+  harness.finals.clear();
+  for (int i = 0; i < 10; ++i) harness.submit(0, 5000, 0, 100 + i), harness.pass(100);
+  EXPECT_TRUE(harness.finals.empty());
 }
 
 }  // namespace
