--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -22,10 +22,10 @@
   apply("tier_util", limiter.utilization);
   auto& locality = parts.locality;
   apply("spill", locality.spillover);
-  apply("near_util", locality.near_utilization);
-  apply("far_util", locality.far_utilization);
-  apply("near_took", locality.near_ms);
-  apply("far_took", locality.far_ms);
+  apply("near_util", locality.local_utilization);
+  apply("far_util", locality.remote_utilization);
+  apply("near_took", locality.local_latency_ms);
+  apply("far_took", locality.remote_latency_ms);
   apply("slow_end", parts.p95_latency_ms);
   for (std::size_t i = 0; i < parts.class_mean_log_latency.size(); ++i)
     apply("pace." + std::to_string(i), parts.class_mean_log_latency[i]);
--- a/src/policy/list_subscription.hpp
+++ b/src/policy/list_subscription.hpp
@@ -13,8 +13,9 @@
 // Subscribes after a random delay, so that balancers that start together spread their calls. Retries with
 // exponential backoff and jitter.
 //
-//   first delay = random from 0 to min(400 ms + 20 ms * balancers, ask_within_ms / 3)
-//   retry delay = (random from 0.5 to 1.5) * min(500 ms * 2^(consecutive failures - 1), ask_within_ms / 3)
+//   first delay = random from 0 to min(400 ms + 20 ms * balancers, subscribe_within_ms / 3)
+//   retry delay = (random from 0.5 to 1.5) * min(500 ms * 2^(consecutive failures - 1), subscribe_within_ms /
+//   3)
 //
 // States:
 //
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -197,7 +197,7 @@
   for (EndpointIndex index : fresh)
     message.content.endpoints.push_back(make_endpoint_report(endpoints_[index], now_ms));
   int other_index = static_cast<int>(random_.uniform() * (settings_.replicas - 1));
-  message.to = other_index + (other_index >= settings_.own_number ? 1 : 0);
+  message.to = other_index + (other_index >= settings_.replica_index ? 1 : 0);
   return message;
 }
 
@@ -207,7 +207,7 @@
   for (EndpointIndex index : endpoints_.listed()) {
     const auto& endpoint = endpoints_[index];
     double age_ms = now_ms - endpoint.load.reported_at_ms;
-    if (age_ms < OutlierDetector::report_lasts_ms(endpoint, report_decay_ms)) fresh.push_back(index);
+    if (age_ms < OutlierDetector::report_lifetime_ms(endpoint, report_decay_ms)) fresh.push_back(index);
   }
   auto is_later = [this](EndpointIndex a, EndpointIndex b) {
     return endpoints_[a].load.reported_at_ms > endpoints_[b].load.reported_at_ms;
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -41,7 +41,7 @@
         endpoints_(endpoints),
         outliers_(outliers),
         random_(random),
-        is_gossip_enabled_(uses_load_reports() && settings.peer_messages && settings.replicas > 1),
+        is_gossip_enabled_(uses_load_reports() && settings.gossip_enabled && settings.replicas > 1),
         next_gossip_at_ms_(is_gossip_enabled_ ? now_ms + draw_first_gossip_delay_ms() : never),
         mean_probe_ms_(settings.wire_tick_ms) {}
 
--- a/src/policy/outcome_window.hpp
+++ b/src/policy/outcome_window.hpp
@@ -1,4 +1,4 @@
-// Counts of accepted and failed calls in a sliding window. It only measures; AdmissionThrottle decides.
+// Counts accepted, failed and dropped calls in a sliding window. AdmissionThrottle decides what to drop.
 #pragma once
 
 #include <cstdint>
@@ -6,27 +6,28 @@
 
 namespace meadowgauge {
 
+// Sliding window of equally long buckets, kept in a ring.
 class OutcomeWindow {
  public:
   struct Sums {
-    double total = 0;    // calls, dropped ones among them
+    double total = 0;    // all calls, including dropped ones
     double accepts = 0;  // accepted calls
-    int failing = 0;     // newest buckets with failures and nothing accepted; empty ones are skipped
-    int working = 0;     // newest buckets with accepted calls and no failure; empty ones are skipped
+    int failing = 0;     // consecutive newest buckets with failures and no accepted call, skipping empty ones
+    int working = 0;     // consecutive newest buckets with accepted calls and no failure, skipping empty ones
   };
 
-  // A window of `buckets` times `bucket_ms`; the first bucket begins at `now_ms`.
+  // The window is `buckets` * `bucket_ms` long; the first bucket starts at `now_ms`.
   OutcomeWindow(int buckets, double bucket_ms, double now_ms);
 
   void add_accepted(double now_ms);
   void add_failed(double now_ms);
-  // A call that was rejected without being made.
+  // Adds a call that the throttle dropped without making it.
   void add_dropped(double now_ms);
   [[nodiscard]] Sums sums(double now_ms) const;
 
  private:
   struct Bucket {
-    std::int64_t slot = -1;  // number of the bucket since the start; -1: unused
+    std::int64_t slot = -1;  // number of the bucket counted from the start; -1: unused
     int total = 0;
     int accepts = 0;
     int failures = 0;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -8,40 +8,41 @@
 namespace meadowgauge {
 namespace {
 
-constexpr double outcome_decay_ms = 5000;  // time constant with which outcomes lose their weight
+constexpr double outcome_decay_ms = 5000;  // time constant of the decay of outcomes
 
 // Ejection threshold.
-constexpr double failure_margin_share = 0.12;       // added to the peers' failure share
-constexpr double peers_failure_multiplier = 1.5;    // of the peers' failure share
-constexpr double peers_prior_failures_count = 0.2;  // failures assumed of peers without outcomes
-constexpr double peers_prior_outcomes_count = 1;    // outcomes assumed of them besides
+constexpr double failure_margin_share = 0.12;       // added to the peers' weighted failure share
+constexpr double peers_failure_multiplier = 1.5;    // weight of the peers' failure share
+constexpr double peers_prior_failures_count = 0.2;  // failures added to the peers' counted ones
+constexpr double peers_prior_outcomes_count = 1;    // other outcomes added to the peers' counted ones
 
-// Length of an ejection.
+// Duration of an ejection.
 constexpr double first_ejection_ms = 1000;
 constexpr double max_ejection_ms = 8000;
-constexpr double min_ejection_spread_ratio = 0.8;  // of its length, drawn from here
-constexpr double ejection_spread_ratio = 0.4;      // over this width
-constexpr int max_ejection_count = 8;              // consecutive ones that are counted
-constexpr double forgiven_after_ms = 10000;        // healthy time after which earlier ones are forgotten
-constexpr double successor_ejection_ms = 4 * first_ejection_ms;  // of an outlier, for a successor process
+constexpr double min_ejection_jitter_ratio = 0.8;    // lower end of the jitter, over the duration
+constexpr double ejection_jitter_range_ratio = 0.4;  // width of the jitter, over the duration
+constexpr int max_counted_ejections = 8;             // highest count of consecutive ejections
+constexpr double ejection_count_reset_ms = 10000;    // healthy time that resets the count of ejections
+constexpr double successor_ejection_ms = 4 * first_ejection_ms;  // minimum in a successor process
 
 // Unresponsive endpoints.
 constexpr double min_unresponsive_ms = 400;
-constexpr double unresponsive_multiplier = 4;  // of the 95th percentile, with one request in flight
+constexpr double unresponsive_multiplier = 4;  // silence over the 95th percentile, at one request in flight
 
 // 95th percentile.
-constexpr double p95_step_ratio = 0.02;  // step of the estimate, of itself
-constexpr double p95_odds_ratio = 19;    // responses below it for each one above
+constexpr double p95_step_ratio = 0.02;  // step of the estimate, over the estimate
+constexpr double p95_odds_ratio = 19;    // responses below the percentile for each one above
 
 // Latency relative to peers.
-constexpr double server_kind_gain = 0.02;        // of one response
-constexpr double class_latency_gain = 0.02;      // of one response
-constexpr double server_kind_prior_samples = 2;  // responses that the server kind's mean stands for
+constexpr double server_kind_gain = 0.02;        // weight of one response in the server kind's mean
+constexpr double class_latency_gain = 0.02;      // weight of one response in the request class's mean
+constexpr double server_kind_prior_samples = 2;  // weight of the server kind's mean, in responses
 
 // Reports to other balancers.
-constexpr double report_decay_ms = 4000;  // time constant with which a report loses its weight
-constexpr double report_gain = 0.4;       // of one outcome: a single balancer ejects for under two seconds
-constexpr double max_reported_failure_share = 0.25;  // from here on an endpoint is not picked
+constexpr double report_decay_ms = 4000;  // time constant of the decay of a report
+// Weight of one outcome. The report of one failure at a single balancer ejects for under two seconds.
+constexpr double report_gain = 0.4;
+constexpr double max_reported_failure_share = 0.25;  // at this share and above, an endpoint is not picked
 
 }  // namespace
 
@@ -53,11 +54,11 @@
 
 void OutlierDetector::decay(Endpoint& endpoint, double now_ms) {
   auto& outlier = endpoint.outlier;
-  double left = std::exp((outlier.decayed_at_ms - now_ms) / outcome_decay_ms);
-  outlier.successes *= left;
-  outlier.failures *= left;
-  outlier.log_latency_excess *= left;
-  outlier.latency_samples *= left;
+  double decay_factor = std::exp((outlier.decayed_at_ms - now_ms) / outcome_decay_ms);
+  outlier.successes *= decay_factor;
+  outlier.failures *= decay_factor;
+  outlier.log_latency_excess *= decay_factor;
+  outlier.latency_samples *= decay_factor;
   outlier.decayed_at_ms = now_ms;
 }
 
@@ -90,7 +91,8 @@
     outlier.failures = 0;
     outlier.healthy_since_ms = now_ms;
   }
-  if (outlier.ejections > 0 && now_ms - outlier.healthy_since_ms > forgiven_after_ms) outlier.ejections = 0;
+  if (outlier.ejections > 0 && now_ms - outlier.healthy_since_ms > ejection_count_reset_ms)
+    outlier.ejections = 0;
 }
 
 void OutlierDetector::record_failure(EndpointIndex index, double now_ms) {
@@ -106,10 +108,10 @@
 void OutlierDetector::eject(EndpointIndex index, double failure_share, double peers_failure_share,
                             double now_ms) {
   auto& outlier = endpoints_[index].outlier;
-  double length_ms = std::min(max_ejection_ms, first_ejection_ms * std::exp2(outlier.ejections));
-  double spread_ratio = min_ejection_spread_ratio + ejection_spread_ratio * random_.uniform();
-  outlier.ejected_until_ms = now_ms + length_ms * spread_ratio;
-  outlier.ejections = std::min(outlier.ejections + 1, max_ejection_count);
+  double duration_ms = std::min(max_ejection_ms, first_ejection_ms * std::exp2(outlier.ejections));
+  double jitter_ratio = min_ejection_jitter_ratio + ejection_jitter_range_ratio * random_.uniform();
+  outlier.ejected_until_ms = now_ms + duration_ms * jitter_ratio;
+  outlier.ejections = std::min(outlier.ejections + 1, max_counted_ejections);
   outlier.ejected_or_half_open = true;
   outlier.successes = 0;
   outlier.failures = 0;
@@ -120,8 +122,8 @@
       .endpoint = index, .failure_share = failure_share, .peers_failure_share = peers_failure_share});
 }
 
-// Streaming estimate of the 95th percentile (stochastic approximation): one step down for a shorter latency,
-// 19 up for a longer one, so that it rests where one in twenty is longer.
+// Streaming estimate of the 95th percentile by stochastic approximation: a latency below the estimate moves
+// it one step down, a latency above it 19 steps up. It settles where one latency in twenty is above.
 void OutlierDetector::record_duration(double took_ms, double now_ms) {
   last_answer_at_ms_ = now_ms;
   if (p95_latency_ms_ == 0) {
@@ -133,8 +135,9 @@
   p95_latency_ms_ = std::max(1.0, p95_latency_ms_ + change_ms);
 }
 
-// Adds the logarithm of the latency over the class's mean, for an endpoint of mean weight, to the endpoint
-// and to its server kind. In a large tier one endpoint is seen too seldom to tell; its kind stands in.
+// Computes the excess of the log latency, scaled to an endpoint of mean weight, over the request class's
+// mean, and adds it to the endpoint and to its server kind. In a large tier a single endpoint has too few
+// samples, so the server kind's mean is used as a prior.
 void OutlierDetector::record_relative_latency(Endpoint& endpoint, RequestClass& request_class,
                                               double took_ms) {
   double log_latency = std::log(std::max(1.0, took_ms) * endpoint.weight / endpoints_.mean_weight());
@@ -154,28 +157,29 @@
 
 bool OutlierDetector::unresponsive(const Endpoint& endpoint, double now_ms) const {
   if (endpoint.in_flight <= 0) return false;
-  double quiet_ms = now_ms - endpoint.last_activity_at_ms;
+  double silence_ms = now_ms - endpoint.last_activity_at_ms;
   double multiplier = 1 + (unresponsive_multiplier - 1) / endpoint.in_flight;
-  bool is_long = quiet_ms > std::max(min_unresponsive_ms, multiplier * p95_latency_ms_);
-  bool others_answer = now_ms - last_answer_at_ms_ < quiet_ms / 2;
-  return is_long && others_answer;
+  bool is_silent = silence_ms > std::max(min_unresponsive_ms, multiplier * p95_latency_ms_);
+  bool others_have_answered = now_ms - last_answer_at_ms_ < silence_ms / 2;
+  return is_silent && others_have_answered;
 }
 
 double OutlierDetector::reported_failure_share(const Endpoint& endpoint, double now_ms) {
-  double left = std::exp((endpoint.load.reported_at_ms - now_ms) / report_decay_ms);
-  return endpoint.outlier.failure_share * left;
+  double decay_factor = std::exp((endpoint.load.reported_at_ms - now_ms) / report_decay_ms);
+  return endpoint.outlier.failure_share * decay_factor;
 }
 
 bool OutlierDetector::is_healthy(const Endpoint& endpoint, double now_ms) const {
-  bool is_reported_well = reported_failure_share(endpoint, now_ms) < max_reported_failure_share;
-  if (!is_reported_well) return false;
+  bool has_low_reported_share = reported_failure_share(endpoint, now_ms) < max_reported_failure_share;
+  if (!has_low_reported_share) return false;
   auto ejection = state(endpoint, now_ms);
   if (ejection == EjectionState::ejected) return false;
   if (ejection == EjectionState::half_open && endpoint.in_flight > 0) return false;
   return !unresponsive(endpoint, now_ms);
 }
 
-// exp(-mean log latency excess), the mean over the endpoint's own responses and its server kind's prior.
+// exp(-mean log latency excess), where the mean is over the endpoint's own responses and the prior from its
+// server kind.
 double OutlierDetector::speed_factor(const Endpoint& endpoint) const {
   const auto& outlier = endpoint.outlier;
   double kind_excess = server_kind_excess_[static_cast<std::size_t>(endpoint.server_kind)];
@@ -183,13 +187,14 @@
   return std::exp(-excess / (outlier.latency_samples + server_kind_prior_samples));
 }
 
-double OutlierDetector::report_lasts_ms(const Endpoint& endpoint, double normally_ms) {
+double OutlierDetector::report_lifetime_ms(const Endpoint& endpoint, double normally_ms) {
   bool is_failing = endpoint.outlier.failure_share > max_reported_failure_share;
   return normally_ms + (is_failing ? report_decay_ms : 0);
 }
 
-// A successor does not know what an unresponsive endpoint has in flight, and would take it for idle.
-double OutlierDetector::ejected_for_successor(const Endpoint& endpoint, double now_ms) const {
+// Covers unresponsive endpoints too: a successor does not know what they have in flight, and would take them
+// for idle.
+double OutlierDetector::successor_ejection_until_ms(const Endpoint& endpoint, double now_ms) const {
   if (!ejected(endpoint, now_ms) && !unresponsive(endpoint, now_ms)) return 0;
   return std::max(endpoint.outlier.ejected_until_ms, now_ms + successor_ejection_ms);
 }
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,4 +1,4 @@
-// Passes the calls of the interface on to its implementation, Policy::Core.
+// Forwards every call to the implementation, Policy::Core.
 #include "policy/policy.hpp"
 
 #include "policy/policy_core.hpp"
--- a/src/policy/policy_core.cpp
+++ b/src/policy/policy_core.cpp
@@ -6,13 +6,13 @@
 namespace meadowgauge {
 namespace {
 
-constexpr double min_reported_drop_probability = 0.1;  // of the throttle, from which it is reported
+constexpr double min_reported_drop_probability = 0.1;  // drops are reported above this probability
 constexpr double drop_report_interval_ms = 5000;
 
 }  // namespace
 
-Policy::Core::Core(const Settings& table, std::uint64_t seed, double now_ms)
-    : settings_(read_policy_settings(table, events_)),
+Policy::Core::Core(const Settings& raw_settings, std::uint64_t seed, double now_ms)
+    : settings_(read_policy_settings(raw_settings, events_)),
       random_(seed),
       classes_(settings_.request_classes),
       throttle_(random_, now_ms),
@@ -76,7 +76,7 @@
   return !throttle_.should_drop(request.over_quota, now_ms);
 }
 
-// The conditions of a hedged request stand at HedgingPolicy.
+// Sends a hedged request if HedgingPolicy, which describes the conditions, allows one.
 Decision Policy::Core::hedge(Request& request, double now_ms) {
   if (!hedging_.may_hedge(request)) return {};
   if (!hedging_.should_hedge(request, now_ms)) return {.kind = Decision::wait};
@@ -97,7 +97,7 @@
   EndpointPicker::record_trial(endpoint);
   auto& attempt = add_attempt(request, index, now_ms);
   attempt.expected_ms = static_cast<float>(expected_ms);
-  // While the body is still incoming the endpoint has nothing to do and may be quiet.
+  // An endpoint that is still receiving the body has no work yet, so its silence is not a fault.
   if (!request.body_incoming) start_work(attempt, now_ms);
   return {.kind = Decision::attempt, .endpoint = index};
 }
@@ -116,11 +116,11 @@
   return retry_or_finish(request, result.outcome, now_ms);
 }
 
-// An attempt that reached no endpoint cost nobody work: its retry needs no budget, or the budget would run
-// out on an endpoint that can't be reached.
+// An attempt that reached no endpoint caused no work, so its retry is not charged to the retry budget.
+// Otherwise one unreachable endpoint would use up the budget.
 Decision Policy::Core::retry_or_finish(Request& request, Outcome outcome, double now_ms) {
-  bool is_unreached = outcome == Outcome::unreachable;
-  if (!is_unreached && !retries_.may_retry(outcome, now_ms)) {
+  bool is_unreachable = outcome == Outcome::unreachable;
+  if (!is_unreachable && !retries_.may_retry(outcome, now_ms)) {
     bool is_spent = retry_budget_.is_spent();
     return finish(request, is_spent ? RejectionReason::retry_budget : RejectionReason::throttle, now_ms);
   }
@@ -128,13 +128,13 @@
   if (load_.request_probes(request, decision, now_ms)) return decision;
   EndpointIndex index = picker_.pick(request, now_ms);
   if (index == no_endpoint) return finish(request, picker_.rejection_reason(), now_ms);
-  if (!is_unreached) retry_budget_.spend(1);
+  if (!is_unreachable) retry_budget_.spend(1);
   return send(request, index, now_ms);
 }
 
-// The final answer where no attempt has succeeded: a rejection only if the client's repetition does no harm,
-// even as late as Retry-After sends it, and a failure otherwise. Retry-After grows with the share of requests
-// rejected.
+// Gives the final answer when no attempt has succeeded: a rejection if the client may safely repeat the
+// request, even after the Retry-After delay, or else a failure. Retry-After is the maximum multiplied by the
+// drop probability or the limiter's rejected share, whichever is larger.
 Decision Policy::Core::finish(Request& request, RejectionReason reason, double now_ms) {
   if (request.answered || request.streaming) return {};
   double pressure = std::max(throttle_.drop_probability(now_ms), limiter_.rejected_share());
@@ -168,7 +168,7 @@
   return {.cancel = cancellable_attempts(request)};
 }
 
-// The endpoint's work is done once its response flows: how long that takes depends on the client.
+// The endpoint's work ends when its response starts: the time to stream the response depends on the client.
 Decision Policy::Core::response_started(Request& request, int attempt_number, double now_ms) {
   if (attempt_number < 0 || attempt_number >= request.attempt_count) return {};
   auto& attempt = request.attempts[static_cast<std::size_t>(attempt_number)];
@@ -195,7 +195,7 @@
   learn_from_report(attempt, load_report, now_ms);
   auto& endpoint = endpoints_[attempt.endpoint];
   bool has_succeeded = attempt.outcome == Outcome::succeeded;
-  // A cancelled attempt counts as well: the endpoint may still work on it.
+  // A cancelled attempt also counts as a failure here: the endpoint may still be working on it.
   if (!has_succeeded) SlowStart::record_failure(endpoint, now_ms);
   if (attempt.outcome == Outcome::cancelled || attempt.outcome == Outcome::superseded) return;
   if (has_succeeded || attempt.outcome == Outcome::timeout) limiter_.record_timely(has_succeeded);
@@ -206,8 +206,8 @@
   learn_from_outcome(attempt, request_class, took_ms, now_ms);
 }
 
-// Reported utilization is late and smoothed: balancers that followed it would all go to the same endpoint. It
-// informs about the tier and its zones, not about the endpoint.
+// Uses reported utilization for the tier and its zones only, not for the endpoint itself: reports are delayed
+// and smoothed, so balancers that picked by them would all choose the same endpoint.
 void Policy::Core::learn_from_report(const Attempt& attempt, const LoadReport& load_report, double now_ms) {
   auto& endpoint = endpoints_[attempt.endpoint];
   auto utilization = load_.utilization(load_report);
@@ -229,8 +229,8 @@
   locality_.record_duration(endpoint, took_ms);
 }
 
-// Outlier detection and the throttle. A failure of an ejected endpoint is left out of the throttle's window:
-// one outlier is not a tier without capacity.
+// Updates outlier detection and the throttle. The throttle ignores failures of an ejected or half-open
+// endpoint: one outlier does not mean that the tier lacks capacity.
 void Policy::Core::learn_from_outcome(const Attempt& attempt, RequestClass& request_class, double took_ms,
                                       double now_ms) {
   auto& endpoint = endpoints_[attempt.endpoint];
@@ -246,11 +246,11 @@
 // --- In-flight accounting --------------------------------------------------------------------------------
 
 std::uint32_t Policy::Core::cancellable_attempts(const Request& request) const {
-  std::uint32_t bits = 0;
-  if (!settings_.can_cancel) return bits;
+  std::uint32_t mask = 0;
+  if (!settings_.can_cancel) return mask;
   for (std::size_t n = 0; n < request.sent_attempts().size(); ++n)
-    if (request.attempts[n].in_flight) bits |= 1U << n;
-  return bits;
+    if (request.attempts[n].in_flight) mask |= 1U << n;
+  return mask;
 }
 
 Attempt& Policy::Core::add_attempt(Request& request, EndpointIndex index, double now_ms) {
@@ -350,8 +350,8 @@
 
 // --- Learned state ---------------------------------------------------------------------------------------
 
-// What a successor process would otherwise learn anew at its requests' cost. Outcomes, budgets and what is in
-// flight are each process's own.
+// Collects the values that a successor process would otherwise have to learn again from its own requests.
+// Outcomes, budgets and in-flight counts are not handed over: each process keeps its own.
 LearnedParts Policy::Core::learned_parts() const {
   LearnedParts parts{.limiter = limiter_.learned(),
                      .locality = locality_.learned(),
@@ -367,7 +367,7 @@
   if (!limiter_.has_learned_tier()) return state;
   save(learned_parts(), state);
   for (EndpointIndex index : endpoints_.listed()) {
-    double until_ms = outliers_.ejected_for_successor(endpoints_[index], now_ms);
+    double until_ms = outliers_.successor_ejection_until_ms(endpoints_[index], now_ms);
     if (until_ms > 0) save_ejection(index, until_ms, state);
   }
   return state;
--- a/src/policy/policy_core.hpp
+++ b/src/policy/policy_core.hpp
@@ -1,4 +1,4 @@
-// The decision module's composition: one part for each concern, and the order in which they are asked.
+// Policy::Core combines the components of the decision module and fixes the order in which they are called.
 #pragma once
 
 #include <span>
@@ -28,16 +28,16 @@
 
 namespace meadowgauge {
 
-// Implements Policy, whose comments describe the calls. A request passes through:
+// Implements Policy; see there for the public functions. A request passes through:
 //
-//  decide          quota, throttle, probes, pick; or a hedged request, or rejection
-//  attempt_ended   learn from the outcome; then retry (a pick again) or finish
-//  finish          the final answer where no attempt succeeded
+//  decide          quota, throttle, probes, pick; or a hedged request; or a rejection
+//  attempt_ended   learn from the outcome; then retry (another pick) or finish
+//  finish          give the final answer if no attempt succeeded
 //
-// The parts refer to each other, so a core is neither copied nor moved.
+// The components hold references to each other, so a Core cannot be copied or moved.
 class Policy::Core {
  public:
-  Core(const Settings& table, std::uint64_t seed, double now_ms);
+  Core(const Settings& raw_settings, std::uint64_t seed, double now_ms);
   Core(const Core&) = delete;
   Core& operator=(const Core&) = delete;
   Core(Core&&) = delete;
@@ -74,10 +74,12 @@
   void restore(const LearnedState& state, double now_ms);
 
  private:
-  // True: the request goes on to the pick. False: it was dropped by the throttle.
+  // Applies the quota and the throttle to a new request. Returns false if the throttle drops the request.
   bool admit(Request& request, double now_ms);
+  // Decides about a request that already has an attempt in flight.
   Decision hedge(Request& request, double now_ms);
   Decision retry_or_finish(Request& request, Outcome outcome, double now_ms);
+  // Adds an attempt at the endpoint and returns the decision to send it.
   Decision send(Request& request, EndpointIndex index, double now_ms);
   Decision finish(Request& request, RejectionReason reason, double now_ms);
 
@@ -88,17 +90,18 @@
   void learn_from_success(const Attempt& attempt, RequestClass& request_class, double took_ms, double now_ms);
   void learn_from_outcome(const Attempt& attempt, RequestClass& request_class, double took_ms, double now_ms);
 
-  // In-flight accounting: an attempt counts at its endpoint while the endpoint is known to work on it.
+  // In-flight accounting: an attempt counts towards its endpoint while the endpoint is known to work on it.
   Attempt& add_attempt(Request& request, EndpointIndex index, double now_ms);
   void start_work(Attempt& attempt, double now_ms);
   void end_work(Attempt& attempt, double now_ms);
-  // A bit for each attempt in flight, where attempts can be cancelled.
+  // Returns a bit mask of the attempts in flight; 0 if attempts cannot be cancelled.
   [[nodiscard]] std::uint32_t cancellable_attempts(const Request& request) const;
 
+  // Adds a RequestsDropped event if the throttle drops enough requests and the last event is old enough.
   void report_drops(double now_ms);
   [[nodiscard]] LearnedParts learned_parts() const;
 
-  std::vector<PolicyEvent> events_;  // until the next tick
+  std::vector<PolicyEvent> events_;  // reported by the next tick()
   PolicySettings settings_;
   Random random_;
   EndpointTable endpoints_;
@@ -117,7 +120,7 @@
   EndpointPicker picker_;
   EndpointUpdater updater_;
   ListSubscription subscription_;
-  double tick_interval_ms_ = 100;  // between two calls of tick()
+  double tick_interval_ms_ = 100;
   double drops_reported_at_ms_ = -never;
 };
 
--- a/src/policy/policy_event.hpp
+++ b/src/policy/policy_event.hpp
@@ -1,4 +1,4 @@
-// What the policy reports for the log, as values with fields. The proxy has the wording.
+// The events that the policy reports for the log. The proxy formats them as log lines.
 #pragma once
 
 #include <string>
@@ -8,27 +8,27 @@
 
 namespace meadowgauge {
 
-// An endpoint goes from healthy to ejected. Not reported again while it relapses.
+// An endpoint changes from healthy to ejected. Relapses are not reported again.
 struct EndpointEjected {
   EndpointIndex endpoint = no_endpoint;
-  double failure_share = 0;        // of its own outcomes, 0 to 1
-  double peers_failure_share = 0;  // of the other endpoints' outcomes, 0 to 1
+  double failure_share = 0;        // failures / outcomes of this endpoint, 0 to 1
+  double peers_failure_share = 0;  // failures / outcomes of all other endpoints, 0 to 1
 };
 
-// The admission throttle drops a considerable share of the requests. Reported at intervals while it does.
+// The admission throttle drops more than a tenth of the requests. Reported at most every five seconds.
 struct RequestsDropped {
   double drop_probability = 0;  // 0 to 1
 };
 
-// So many calls for the endpoint list have failed in a row; the last list stays in use.
+// Several consecutive calls for the endpoint list have failed. The last known list stays in use.
 struct DiscoveryUnreachable {
-  int failure_count = 0;
+  int failure_count = 0;  // consecutive
 };
 
-// An endpoint list has come after DiscoveryUnreachable.
+// An endpoint list has arrived after DiscoveryUnreachable.
 struct DiscoveryRecovered {};
 
-// A setting is not a finite number and takes its default.
+// A setting's value is not a finite number; the default is used.
 struct InvalidSetting {
   std::string name;
   std::string value;
--- a/src/policy/request_class.hpp
+++ b/src/policy/request_class.hpp
@@ -1,4 +1,4 @@
-// The request classes and what has been learned of each.
+// The request classes with their settings and learned values.
 #pragma once
 
 #include <algorithm>
@@ -9,19 +9,21 @@
 
 namespace meadowgauge {
 
+// One request class.
 struct RequestClass {
   RequestClassSettings settings;
-  double mean_log_latency = 0;  // of log latencies in ms, scaled to an endpoint of mean weight; 0: not known
-  double relative_latency = 1;  // mean latency over that of the tier, whose mean is over all classes
+  double mean_log_latency = 0;  // mean log of latencies in ms, scaled to mean endpoint weight; 0: not known
+  double relative_latency = 1;  // mean latency of this class over the mean latency of all classes
   int response_count = 0;
 };
 
+// All request classes, by number.
 class RequestClasses {
  public:
   explicit RequestClasses(const std::vector<RequestClassSettings>& settings) {
-    for (const auto& s : settings) all.push_back({.settings = s});
+    for (const auto& class_settings : settings) all.push_back({.settings = class_settings});
   }
-  // The request's class; a number out of range is the nearest class's.
+  // Returns the request's class. A class number out of range is clamped.
   RequestClass& of(const Request& request) { return all[index_of(request)]; }
   [[nodiscard]] const RequestClass& of(const Request& request) const { return all[index_of(request)]; }
 
--- a/src/policy/retry_budget.cpp
+++ b/src/policy/retry_budget.cpp
@@ -5,10 +5,10 @@
 namespace meadowgauge {
 namespace {
 
-constexpr double attempts_per_request = 0.1;        // added to the budget by each request that arrives
-constexpr double max_balancer_attempts = 10;        // held by one balancer
-constexpr double max_all_balancers_attempts = 300;  // held by all balancers of the tier together
-constexpr double min_balancer_attempts = 1;         // held by one balancer, however many there are
+constexpr double attempts_per_request = 0.1;        // added to the budget by each arriving request
+constexpr double max_balancer_attempts = 10;        // cap of one balancer's budget
+constexpr double max_all_balancers_attempts = 300;  // cap of all balancers of the tier together
+constexpr double min_balancer_attempts = 1;         // lowest cap of one balancer, in a tier of any size
 
 double max_attempts_of(const PolicySettings& settings) {
   return std::clamp(max_all_balancers_attempts / settings.replicas, min_balancer_attempts,
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -5,18 +5,19 @@
 
 namespace meadowgauge {
 
-// Bounds retries and hedged requests to a tenth of the requests that arrive, so that they can't multiply over
-// the tiers. The budget holds whole and partial attempts and is limited both per balancer and over all of
-// them: without the latter, a thousand balancers with a full budget each would double an overload.
+// Limits retries and hedged requests to a tenth of the arriving requests, so that they cannot multiply from
+// tier to tier. The budget is counted in attempts, including fractions. It is capped per balancer and over
+// all balancers of the tier: without the second cap, a thousand balancers, each with a full budget, would
+// double an overload.
 class RetryBudget {
  public:
   explicit RetryBudget(const PolicySettings& settings);
 
-  // A request has arrived.
+  // Adds a request's contribution to the budget. Call it once per arriving request.
   void record_arrival();
-  // Less than one attempt is left.
+  // Returns whether less than one attempt is left.
   [[nodiscard]] bool is_spent() const { return attempts_ < 1; }
-  // `cost` is in attempts; a hedged request of a short class costs less than one.
+  // Takes `cost` attempts from the budget; a hedged request of a short class costs less than one.
   void spend(double cost) { attempts_ -= cost; }
 
  private:
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -5,10 +5,10 @@
 namespace meadowgauge {
 namespace {
 
-constexpr double key_window_margin_share = 0.1;  // of the time that servers remember a key, not used
-constexpr double retry_reserve_ticks = 3;        // wire ticks before the deadline without further attempts
-constexpr double response_reserve_ticks = 2;     // wire ticks before the deadline, kept for the response
-constexpr double early_limit_share = 0.5;        // of the latency objective, for an attempt given up early
+constexpr double key_window_margin_share = 0.1;  // unused end of the time that servers remember a key
+constexpr double retry_reserve_ticks = 3;        // no retry within this many wire ticks of the deadline
+constexpr double response_reserve_ticks = 2;     // wire ticks before the deadline reserved for the response
+constexpr double early_limit_share = 0.5;        // time limit of an early timeout, over the latency objective
 
 bool may_have_run(const Attempt& attempt) {
   using enum Outcome;
@@ -30,7 +30,7 @@
   return rules.group == DeduplicationGroup::cell ? "cell" : "all";
 }
 
-// Whether the endpoint is outside the group of servers that share the attempt's idempotency key.
+// Returns whether the endpoint is outside the group of servers that share the attempt's idempotency key.
 bool is_outside_group(const RequestClassSettings& rules, const Attempt& attempt, const Endpoint& endpoint) {
   if (rules.idempotency != Idempotency::deduplicated) return false;
   if (rules.group == DeduplicationGroup::zone) return attempt.zone != endpoint.zone;
@@ -39,12 +39,13 @@
 
 }  // namespace
 
-// In order:
-//  attempts        the request has its answer, all allowed attempts were made, or its body can't be resent
-//  deadline        a retry would end after the deadline and delay the final answer
-//  no_server       the endpoint drains, has left the list, or is drained by an operator
+// Checks, in this order:
+//  attempts        the request is answered, all allowed attempts were made, or the body can't be sent again
+//  deadline        the deadline has passed, or is so near that a retry would delay the final answer past it
+//  no_server       the endpoint is draining, not on the list, or drained by an operator
 //  attempts        another attempt is in flight and hedging is not allowed
-//  not_repeatable  an earlier attempt may have run, and its effect, group or window forbids another
+//  not_repeatable  an earlier attempt may have run, and another one could repeat its effect: the request has
+//                  no idempotency key, or the endpoint is in another group, or the key window has ended
 RejectionReason RetryPolicy::rejection_reason(const Request& request, const Endpoint& endpoint,
                                               double now_ms) const {
   bool is_retry = request.attempt_count > 0;
@@ -62,7 +63,7 @@
   return RejectionReason::none;
 }
 
-// Whether what `earlier` may have done allows another attempt at the endpoint.
+// Returns whether another attempt at the endpoint is safe although `earlier` may have run.
 bool RetryPolicy::may_run_again_at(const Request& request, const Attempt& earlier, const Endpoint& endpoint,
                                    double now_ms) const {
   const auto& rules = parts_.classes.of(request).settings;
@@ -78,11 +79,12 @@
 bool RetryPolicy::client_may_repeat(const Request& request, double at_ms) const {
   const auto& rules = parts_.classes.of(request).settings;
   if (rules.idempotency == Idempotency::idempotent) return true;
-  // A client's repetition may reach any server, so a smaller group does not help.
-  bool is_known_everywhere =
+  // A request repeated by the client may reach any server, so a key that only a zone or a cell knows is not
+  // enough.
+  bool is_key_shared_by_all =
       rules.idempotency == Idempotency::deduplicated && rules.group == DeduplicationGroup::all;
   return std::ranges::all_of(request.sent_attempts(), [&](const Attempt& attempt) {
-    return !may_have_run(attempt) || (is_known_everywhere && is_key_remembered(attempt, rules, at_ms));
+    return !may_have_run(attempt) || (is_key_shared_by_all && is_key_remembered(attempt, rules, at_ms));
   });
 }
 
@@ -120,7 +122,8 @@
   return judgement;
 }
 
-// Until shortly before the deadline, or less where an attempt is given up early.
+// The limit is the time until the deadline, less a reserve for the response, or the early limit if that is
+// shorter and the attempt should be given up early.
 double RetryPolicy::attempt_limit_ms(const Request& request, double now_ms) const {
   double tick_ms = parts_.settings.wire_tick_ms;
   double until_deadline_ms = request.deadline_ms - now_ms - response_reserve_ticks * tick_ms;
@@ -129,8 +132,9 @@
   return should_give_up_early(request, early_limit_ms) ? std::min(limit_ms, early_limit_ms) : limit_ms;
 }
 
-// Whether a first attempt is given up while a retry can still meet the latency objective. Only where no
-// hedged request can stand in for it, nearly all responses are sooner, and a retry is possible.
+// Decides whether a first attempt times out early enough for a retry to meet the latency objective. This
+// requires that hedging is off, servers send load reports, the request is repeatable, the retry budget is not
+// spent, and the 95th latency percentile is below the early limit.
 bool RetryPolicy::should_give_up_early(const Request& request, double early_limit_ms) const {
   if (parts_.settings.hedging_enabled || !parts_.load.uses_load_reports()) return false;
   if (request.attempt_count >= 2 || !parts_.classes.of(request).settings.repeatable()) return false;
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,5 +1,5 @@
-// Whether a request may be sent, once more or to a given endpoint, and how long an attempt may take. Design:
-// docs/design.md, "Open questions, as answered"; docs/design/endings.md.
+// Rules on attempts and retries, and the time limits of attempts. Design: docs/design.md, "Open questions, as
+// answered"; docs/design/endings.md.
 #pragma once
 
 #include "policy/admission_throttle.hpp"
@@ -12,7 +12,7 @@
 
 namespace meadowgauge {
 
-// What the policy asks. All of it must outlive the policy.
+// The components that RetryPolicy reads. All of them must outlive it.
 struct RetryPolicyParts {
   const PolicySettings& settings;
   const EndpointTable& endpoints;
@@ -23,33 +23,38 @@
   const RetryBudget& budget;
 };
 
-// Holds the rules on attempts: the number of attempts, the deadline, draining endpoints, and no effect twice.
-// An attempt that may have run (in flight, or ended in any way but rejected, unreachable or superseded)
-// allows another only if the request is idempotent, or has an idempotency key and the other goes to the same
-// group of servers within the time that they remember the key.
+// Decides whether an attempt is allowed, by the number of attempts, the deadline, the endpoint's drain state
+// and the rule that a request must not take effect twice.
+//
+// An attempt may have run if it is in flight or ended in any way but rejected, unreachable or superseded.
+// After such an attempt another one is allowed only if
+//
+//   the request is idempotent, or
+//   the request has an idempotency key, and the new attempt goes to the same group of servers while they
+//   still remember the key.
 class RetryPolicy {
  public:
   explicit RetryPolicy(const RetryPolicyParts& parts) : parts_(parts) {}
 
-  // Why the rules forbid an attempt at this endpoint now, or `none`. Every attempt passes this check.
+  // Returns why an attempt at this endpoint is not allowed now, or `none`. Every attempt passes this check.
   [[nodiscard]] RejectionReason rejection_reason(const Request& request, const Endpoint& endpoint,
                                                  double now_ms) const;
-  // Whether an attempt that still waits for a connection may be sent: its endpoint may have moved to another
-  // group of servers since it was picked.
+  // Returns whether an attempt that still waits for a connection may be sent: its endpoint may have moved to
+  // another group of servers since the pick.
   [[nodiscard]] bool may_still_be_sent(const Request& request, const Attempt& attempt) const;
-  // Whether a repetition by the client at `at_ms` does no harm, so that the answer may be a rejection.
+  // Returns whether the client may safely repeat the request at `at_ms`, so that it may be rejected.
   [[nodiscard]] bool client_may_repeat(const Request& request, double at_ms) const;
-  // Whether there may be a retry after an attempt that ended so: not after a cancellation, without budget, or
-  // while the throttle drops requests.
+  // Returns whether a retry may follow an attempt with this outcome: not after a cancellation, with the
+  // budget spent, or while the throttle drops requests.
   [[nodiscard]] bool may_retry(Outcome outcome, double now_ms) const;
 
-  // How long the newest attempt may take.
+  // Returns the time limit of the newest attempt, from now on.
   [[nodiscard]] double attempt_limit_ms(const Request& request, double now_ms) const;
-  // Until when the last byte of that attempt has to be written, from now on; `never`: within its limit. Every
-  // other attempt that may have run begins a window of the key, whichever was picked first: checked only at
-  // the pick, a window could end while the attempt waits for a connection.
+  // Returns the time in ms from now within which the attempt's last byte must be written; `never` if only the
+  // attempt's limit applies. Each other attempt that may have run starts a key window when it is picked. The
+  // check at the pick is not enough: a window can end while the attempt waits for a connection.
   [[nodiscard]] double send_by_ms(const Request& request, int attempt, double now_ms) const;
-  // What allows the newest attempt; for the log.
+  // Returns why the newest attempt is allowed, for the log.
   [[nodiscard]] RepeatJudgement repeat_judgement(const Request& request, double now_ms) const;
 
  private:
--- a/src/policy/settings_reader.hpp
+++ b/src/policy/settings_reader.hpp
@@ -1,4 +1,4 @@
-// Reads single settings. It decides nothing.
+// Typed access to single settings.
 #pragma once
 
 #include <string>
@@ -10,22 +10,23 @@
 
 namespace meadowgauge {
 
-// Both arguments of the constructor must outlive it.
+// Reads settings as text, flags, numbers and lists.
 class SettingsReader {
  public:
-  // A value that is not a finite number adds an event and counts as absent.
+  // Both arguments must outlive the reader. Each number() that finds an invalid value adds an event.
   SettingsReader(const Settings& settings, std::vector<PolicyEvent>& events)
       : settings_(settings), events_(events) {}
 
-  // Empty where the setting is absent.
+  // Returns the setting as text; empty if it is absent.
   [[nodiscard]] std::string_view text(std::string_view key) const;
   [[nodiscard]] bool flag(std::string_view key) const { return text(key) == "true"; }
-  // The setting as a finite number, or `otherwise` where it is absent or is none.
-  double number(const std::string& key, double otherwise);
-  // Items of a comma-separated list, at least one.
+  // Returns the setting as a finite number, or `default_value` if it is absent or invalid.
+  double number(const std::string& key, double default_value);
+  // Returns the number of items in a comma-separated list; 1 if the setting is absent.
   [[nodiscard]] double item_count(std::string_view key) const;
-  // Column of `name` in load reports that are sent in the way `how`; -1: they don't have it.
-  [[nodiscard]] int report_column(std::string_view how, std::string_view name) const;
+  // Returns the position of column `name` in the load reports; -1 if the reports do not have the column or
+  // are not sent by `method` ("inline": with responses, "on_probe": with probes).
+  [[nodiscard]] int report_column(std::string_view method, std::string_view name) const;
 
  private:
   const Settings& settings_;
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -5,8 +5,8 @@
 namespace meadowgauge {
 namespace {
 
-constexpr double quota_burst_ms = 1000;      // of a quota that may be saved up
-constexpr double share_burst_requests = 10;  // of a share that may be saved up, or overdrawn
+constexpr double quota_burst_ms = 1000;      // capacity of a quota's bucket, as time at the quota's rate
+constexpr double share_burst_requests = 10;  // capacity of a share's bucket, and its limit when overdrawn
 
 }  // namespace
 
@@ -21,7 +21,7 @@
   }
 }
 
-// Each request that arrives adds to every tenant's bucket its share of one request.
+// Called for each arriving request: adds every tenant's share of one request to the tenant's bucket.
 void TenantQuotas::refill_shares() {
   for (auto& tenant : tenants_)
     tenant.share_tokens = std::min(share_burst_requests, tenant.share_tokens + tenant.share);
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -1,4 +1,5 @@
-// The policy as a whole: reasons for rejections, the endpoint list, settings, sizes.
+// Tests of the policy as a whole: rejection reasons, the endpoint list, settings, numbers of endpoints and
+// balancers.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,34 +10,35 @@
 namespace meadowgauge::test {
 namespace {
 
-// Lists and fleets of any size.
-TEST(Policy, AnyListAndAnyFleetWork) {
+// An empty or very long endpoint list and a large number of balancers must not break any rule.
+TEST(Policy, WorksWithAnyNumberOfEndpointsAndBalancers) {
   for (int servers : {0, 1, 1000})
     for (const char* replicas : {"1", "500"}) {
-      PolicyHarness w({}, servers, 5, {{"replicas_of_me", replicas}, {"limits.probes", "true"}});
-      w.pass(3000);  // an instance that gets no request
-      w.stream(0, 50, 3000, [](int) { return 100.0; });
-      EXPECT_EQ(sum_of(w.sends, 0, servers) > 0, servers > 0);
-      EXPECT_EQ(w.check.breach, "");
+      PolicyHarness harness({}, servers, 5, {{"replicas_of_me", replicas}, {"limits.probes", "true"}});
+      harness.pass(3000);  // a balancer that gets no requests at first
+      harness.stream(0, 50, 3000, [](int) { return 100.0; });
+      EXPECT_EQ(sum_of(harness.sends, 0, servers) > 0, servers > 0);
+      EXPECT_EQ(harness.check.breach, "");
     }
 }
 
-// Each rejection and failure that the policy decides has its reason.
-TEST(RejectionReasons, NameWhatRejectedTheRequest) {
-  auto reason_of = [](PolicyHarness& w, int id) {
-    return w.reasons.contains(id) ? w.reasons[id] : RejectionReason::none;
+// Each rejection and failure must carry the reason that caused it.
+TEST(RejectionReasons, EachRejectionHasItsReason) {
+  auto reason_of = [](PolicyHarness& harness, int id) {
+    return harness.reasons.contains(id) ? harness.reasons[id] : RejectionReason::none;
   };
-  auto failed_after = [&](PolicyHarness& w, int request_class, double timeout,
+  auto failed_after = [&](PolicyHarness& harness, int request_class, double timeout,
                           std::initializer_list<Outcome> ends) {
-    int id = w.submit(request_class, timeout), n = 0;
-    for (auto s : ends) w.end(id, n++, s);
-    return reason_of(w, id);
+    int id = harness.submit(request_class, timeout), attempt_number = 0;
+    for (auto s : ends) harness.end(id, attempt_number++, s);
+    return reason_of(harness, id);
   };
-  PolicyHarness w({}, 4, 1);
-  EXPECT_EQ(failed_after(w, 1, 5000, {Outcome::timeout}), RejectionReason::not_repeatable);
-  EXPECT_EQ(failed_after(w, 0, 5000, {Outcome::reset, Outcome::reset, Outcome::reset, Outcome::reset}),
+  PolicyHarness harness({}, 4, 1);
+  EXPECT_EQ(failed_after(harness, 1, 5000, {Outcome::timeout}), RejectionReason::not_repeatable);
+  EXPECT_EQ(failed_after(harness, 0, 5000, {Outcome::reset, Outcome::reset, Outcome::reset, Outcome::reset}),
             RejectionReason::attempts);
-  EXPECT_EQ(failed_after(w, 4, 5000, {Outcome::reset, Outcome::reset}), RejectionReason::not_repeatable);
+  EXPECT_EQ(failed_after(harness, 4, 5000, {Outcome::reset, Outcome::reset}),
+            RejectionReason::not_repeatable);
   PolicyHarness late({}, 4, 1);
   int id = late.submit(0, 200);
   late.pass(195);
@@ -53,37 +55,37 @@
   for (int i = 0; i < 40 && last != RejectionReason::retry_budget; ++i)
     last = failed_after(spent, 0, 5000, {Outcome::rejected, Outcome::succeeded});
   EXPECT_EQ(last, RejectionReason::retry_budget);
-  PolicyHarness jammed({}, 4, 1);
-  feed(jammed, 0, 300);
+  PolicyHarness overloaded({}, 4, 1);
+  feed(overloaded, 0, 300);
   bool throttled = false;
   for (int i = 0; i < 50; ++i)
-    throttled = throttled || reason_of(jammed, jammed.submit(1, 900)) == RejectionReason::throttle;
+    throttled = throttled || reason_of(overloaded, overloaded.submit(1, 900)) == RejectionReason::throttle;
   EXPECT_TRUE(throttled);
-  PolicyHarness starting({}, 1, 1);
-  starting.entries[0].up_since_ms = starting.now_ms;
-  starting.update_endpoints(EndpointListUpdate::full, starting.entries);
-  for (int i = 0; i < 3; ++i) id = starting.submit(0, 5000);
-  EXPECT_EQ(reason_of(starting, id), RejectionReason::slow_start);
+  PolicyHarness warming({}, 1, 1);
+  warming.entries[0].up_since_ms = warming.now_ms;
+  warming.update_endpoints(EndpointListUpdate::full, warming.entries);
+  for (int i = 0; i < 3; ++i) id = warming.submit(0, 5000);
+  EXPECT_EQ(reason_of(warming, id), RejectionReason::slow_start);
 }
 
 TEST(ListSubscription, RetriesAfterFailures) {
-  PolicyHarness w({}, 2, 3);
-  int asks = 0;
-  for (double t = 0; t < 8000; t += w.policy.tick_interval_ms()) {
-    auto c = w.policy.tick(w.now_ms + t);
-    if (!c.subscribe) continue;
-    ++asks;
-    w.policy.update_endpoints(EndpointListUpdate::failed, {}, w.now_ms + t);
+  PolicyHarness harness({}, 2, 3);
+  int subscribe_calls = 0;
+  for (double t = 0; t < 8000; t += harness.policy.tick_interval_ms()) {
+    auto actions = harness.policy.tick(harness.now_ms + t);
+    if (!actions.subscribe) continue;
+    ++subscribe_calls;
+    harness.policy.update_endpoints(EndpointListUpdate::failed, {}, harness.now_ms + t);
   }
-  EXPECT_GE(asks, 3);
-  EXPECT_LE(asks, 8);
+  EXPECT_GE(subscribe_calls, 3);
+  EXPECT_LE(subscribe_calls, 8);
 }
 
 TEST(PolicySettings, InvalidValueIsAnEvent) {
   auto s = settings_of({});
   s["rules.cold_share"] = "cold";
-  Policy b(s, 1, 0);
-  auto events = b.tick(0).events;
+  Policy configured_policy(s, 1, 0);
+  auto events = configured_policy.tick(0).events;
   ASSERT_EQ(events.size(), 1u);
   const auto* invalid = std::get_if<InvalidSetting>(&events.front());
   ASSERT_NE(invalid, nullptr);
--- a/tests/policy/policy_test_support.hpp
+++ b/tests/policy/policy_test_support.hpp
@@ -1,4 +1,4 @@
-// What several tests of the policy share beside the harness that they run it in.
+// Settings and helpers shared by the tests of the policy.
 #pragma once
 
 #include <map>
@@ -7,31 +7,32 @@
 
 namespace meadowgauge::test {
 
-// Settings of one balancer of many, which learns the load of servers by probes alone.
+// Settings of one balancer of many that learns the load of servers from probes only.
 inline const Settings probes_only{{"replicas_of_me", "400"},
                                   {"limits.probes", "true"},
                                   {"report.how", "on_probe"},
                                   {"report.columns", "concurrent,depth"},
                                   {"limits.second_copies", "false"}};
 
-// The same by reports in responses, and by gossip.
+// Settings of one balancer of many that learns the load of servers from reports in responses and from gossip.
 inline const Settings depth_reported{{"replicas_of_me", "1000"},       {"my_number", "3"},
                                      {"limits.peer_messages", "true"}, {"specifics.warm_keys", "true"},
                                      {"report.how", "inline"},         {"report.columns", "mean_ms,depth"},
                                      {"limits.second_copies", "false"}};
 
-// `good` successes and then `bad` rejections at one moment, so in one bucket.
-inline void feed(PolicyHarness& w, int good, int bad) {
+// Makes `good` attempts succeed and then `bad` attempts end as rejected. All end at the same time, so they
+// fall into one bucket of the outcome window.
+inline void feed(PolicyHarness& harness, int good, int bad) {
   for (int i = 0; i < good + bad; ++i) {
-    int id = w.submit(1, 5000);
-    w.end(id, 0, i < good ? Outcome::succeeded : Outcome::rejected);
+    int id = harness.submit(1, 5000);
+    harness.end(id, 0, i < good ? Outcome::succeeded : Outcome::rejected);
   }
 }
 
-// The sum over the endpoints from `from` to before `to`.
+// Returns the sum of the counts of the endpoints from `from` up to but excluding `to`.
 inline int sum_of(const std::map<int, int>& counts, int from, int to) {
   int sum = 0;
-  for (auto [endpoint, n] : counts) sum += endpoint >= from && endpoint < to ? n : 0;
+  for (auto [endpoint, count] : counts) sum += endpoint >= from && endpoint < to ? count : 0;
   return sum;
 }
 
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Retry policy, retry budget and hedging: budget, groups of servers, time limits.
+// Tests of the retry policy, the retry budget and hedging: budget, groups of servers, time limits.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -8,177 +8,188 @@
 namespace meadowgauge::test {
 namespace {
 
-// Retries multiply over tiers: they stay within a share of the requests.
+// Retries multiply from tier to tier unless they are limited to a share of the requests.
 TEST(RetryPolicy, StaysWithinTheBudget) {
-  PolicyHarness w({}, 4, 3);
+  PolicyHarness harness({}, 4, 3);
   for (int i = 0; i < 200; ++i) {
-    int id = w.submit(0, 5000);
-    for (int n = 0; n < 4; ++n) w.end(id, n, n == 0 && i % 3 == 0 ? Outcome::error : Outcome::succeeded);
-    w.pass(20);
+    int id = harness.submit(0, 5000);
+    for (int n = 0; n < 4; ++n)
+      harness.end(id, n, n == 0 && i % 3 == 0 ? Outcome::error : Outcome::succeeded);
+    harness.pass(20);
   }
   int sum = 0;
-  for (const auto& [endpoint, n] : w.sends) sum += n;
+  for (const auto& [endpoint, n] : harness.sends) sum += n;
   EXPECT_LT(sum, 200 * 1.25 + 12);
 }
 
-// A list entry of an endpoint that has gone has no zone or cell. The last known ones decide where a
-// deduplicated request may go that it may have run.
-TEST(RetryPolicy, KeepsTheGroupOfAnEndpointThatHasGone) {
+// The list entry of a removed endpoint has no zone or cell. If a deduplicated request may have run there, the
+// endpoint's last known zone and cell must decide where a retry may go.
+TEST(RetryPolicy, KeepsGroupOfARemovedEndpoint) {
   for (int request_class : {3, 4}) {
-    PolicyHarness w({.copies = false}, 6, 5);
-    int id = w.submit(request_class, 5000);
-    auto server = [&] { return number_of(w.requests.at(id).v.attempts[0].endpoint); };
-    while (server() < 3 || server() % 2 == 0) id = w.submit(request_class, 5000);
-    EndpointIndex endpoint = w.requests.at(id).v.attempts[0].endpoint;
-    w.update_endpoints(EndpointListUpdate::delta, {{.endpoint = endpoint, .state = EndpointState::gone}});
-    w.end(id, 0, Outcome::reset);
-    EXPECT_EQ(w.check.breach, "") << request_class;
-    // None of its group is left, so there is no other attempt.
-    std::vector<EndpointEntry> others{w.entries[0], w.entries[2]};
-    int next = w.submit(request_class, 5000);
-    w.update_endpoints(EndpointListUpdate::full, others);
-    w.end(next, 0, Outcome::reset);
-    EXPECT_EQ(w.check.breach, "") << request_class;
+    PolicyHarness harness({.copies = false}, 6, 5);
+    int id = harness.submit(request_class, 5000);
+    auto server = [&] { return number_of(harness.requests.at(id).v.attempts[0].endpoint); };
+    while (server() < 3 || server() % 2 == 0) id = harness.submit(request_class, 5000);
+    EndpointIndex endpoint = harness.requests.at(id).v.attempts[0].endpoint;
+    harness.update_endpoints(EndpointListUpdate::delta,
+                             {{.endpoint = endpoint, .state = EndpointState::gone}});
+    harness.end(id, 0, Outcome::reset);
+    EXPECT_EQ(harness.check.breach, "") << request_class;
+    // No endpoint of the group is left, so there must be no retry.
+    std::vector<EndpointEntry> others{harness.entries[0], harness.entries[2]};
+    int next = harness.submit(request_class, 5000);
+    harness.update_endpoints(EndpointListUpdate::full, others);
+    harness.end(next, 0, Outcome::reset);
+    EXPECT_EQ(harness.check.breach, "") << request_class;
   }
 }
 
-// The group is that of the endpoint when it was picked, whatever zone a later list gives it.
-TEST(RetryPolicy, KeepsTheGroupOfAnEndpointThatMoves) {
+// The group of a retry is that of the first endpoint at the time of the pick, even if a later list moves that
+// endpoint to another zone or cell.
+TEST(RetryPolicy, KeepsGroupOfAMovedEndpoint) {
   for (int request_class : {3, 4}) {
-    PolicyHarness w({.copies = false}, 6, 5);
-    int id = w.submit(request_class, 5000);
-    EndpointIndex first = w.requests.at(id).v.attempts[0].endpoint;
-    auto moved = w.entries[position_of(first)];
+    PolicyHarness harness({.copies = false}, 6, 5);
+    int id = harness.submit(request_class, 5000);
+    EndpointIndex first = harness.requests.at(id).v.attempts[0].endpoint;
+    auto moved = harness.entries[position_of(first)];
     moved.zone = 1 - moved.zone;
     moved.cell = (moved.cell + 1) % 3;
-    w.update_endpoints(EndpointListUpdate::delta, {moved});
-    w.end(id, 0, Outcome::reset);
-    ASSERT_EQ(w.requests.at(id).v.attempt_count, 2) << request_class;
-    const auto& second = w.entries[position_of(w.requests.at(id).v.attempts[1].endpoint)];
+    harness.update_endpoints(EndpointListUpdate::delta, {moved});
+    harness.end(id, 0, Outcome::reset);
+    ASSERT_EQ(harness.requests.at(id).v.attempt_count, 2) << request_class;
+    const auto& second = harness.entries[position_of(harness.requests.at(id).v.attempts[1].endpoint)];
     bool by_zone = request_class == 3;
     EXPECT_EQ(by_zone ? second.zone : second.cell,
-              by_zone ? w.entries[position_of(first)].zone : w.entries[position_of(first)].cell);
+              by_zone ? harness.entries[position_of(first)].zone : harness.entries[position_of(first)].cell);
   }
 }
 
-// A retry waits for its connection no longer than the key's window: the server would have forgotten the key.
+// A retry must not wait for its connection beyond the key's window: the servers would have forgotten the key
+// and run the request again.
 TEST(RetryPolicy, RetryIsSentWithinTheKeyWindow) {
   constexpr double window_ms = 1000;
-  PolicyHarness w({.ttl = window_ms, .copies = false}, 4, 3);
-  int id = w.submit(2, 5000);
-  EXPECT_EQ(w.policy.attempt_timeout(w.requests.at(id).v, w.now_ms).send_by_ms, never);
-  w.pass(300);
-  w.end(id, 0, Outcome::reset);
-  ASSERT_EQ(w.requests.at(id).v.attempt_count, 2);
-  double send_by_ms = w.policy.attempt_timeout(w.requests.at(id).v, w.now_ms).send_by_ms;
+  PolicyHarness harness({.ttl = window_ms, .copies = false}, 4, 3);
+  int id = harness.submit(2, 5000);
+  EXPECT_EQ(harness.policy.attempt_timeout(harness.requests.at(id).v, harness.now_ms).send_by_ms, never);
+  harness.pass(300);
+  harness.end(id, 0, Outcome::reset);
+  ASSERT_EQ(harness.requests.at(id).v.attempt_count, 2);
+  double send_by_ms = harness.policy.attempt_timeout(harness.requests.at(id).v, harness.now_ms).send_by_ms;
   EXPECT_GT(send_by_ms, 0);
   EXPECT_LE(send_by_ms, window_ms - 300);
 }
 
-// The log names what a further attempt was judged by: without it a duplicate can't be traced from one run.
-TEST(RetryPolicy, JudgementNamesTheEarliestAttemptThatMayHaveRun) {
+// The log states why a further attempt was allowed. Without the reason, the cause of a duplicate execution
+// cannot be found from the log of a single run.
+TEST(RetryPolicy, JudgementUsesEarliestAttemptThatMayHaveRun) {
   constexpr double window_ms = 1000;
-  PolicyHarness w({.ttl = window_ms, .copies = false}, 4, 3);
-  auto judgement = [&](int id) { return w.policy.repeat_judgement(w.requests.at(id).v, w.now_ms); };
-  int id = w.submit(2, 5000);
+  PolicyHarness harness({.ttl = window_ms, .copies = false}, 4, 3);
+  auto judgement = [&](int id) {
+    return harness.policy.repeat_judgement(harness.requests.at(id).v, harness.now_ms);
+  };
+  int id = harness.submit(2, 5000);
   EXPECT_EQ(judgement(id).basis, RepeatBasis::first_attempt);
-  w.pass(100);
-  w.end(id, 0, Outcome::unreachable);
-  ASSERT_EQ(w.requests.at(id).v.attempt_count, 2);
+  harness.pass(100);
+  harness.end(id, 0, Outcome::unreachable);
+  ASSERT_EQ(harness.requests.at(id).v.attempt_count, 2);
   EXPECT_EQ(judgement(id).basis, RepeatBasis::none_has_run);
-  w.pass(200);
-  w.end(id, 1, Outcome::reset);
-  ASSERT_EQ(w.requests.at(id).v.attempt_count, 3);
+  harness.pass(200);
+  harness.end(id, 1, Outcome::reset);
+  ASSERT_EQ(harness.requests.at(id).v.attempt_count, 3);
   EXPECT_EQ(judgement(id).basis, RepeatBasis::key_window);
   EXPECT_EQ(judgement(id).group, "all");
-  EXPECT_EQ(judgement(id).zone, w.requests.at(id).v.attempts[2].zone);
+  EXPECT_EQ(judgement(id).zone, harness.requests.at(id).v.attempts[2].zone);
   EXPECT_EQ(judgement(id).earliest_age_ms, 200);
   EXPECT_EQ(judgement(id).window_ms, window_ms);
 }
 
-// A client must not be sent away until after its key's window: the servers would have forgotten the key.
+// Retry-After must not send a client back after the key's window has ended: the servers would have forgotten
+// the key and run the request again.
 TEST(RetryPolicy, RetryAfterEndsWithinTheKeyWindow) {
   constexpr double window_ms = 1000;
   int rejected = 0;
   for (double max_retry_after_ms : {200.0, 5000.0})
     for (double waited_ms : {5.0, 400.0, 850.0}) {
-      PolicyHarness w({.ttl = window_ms, .copies = false}, 4, 3,
-                      {{"limits.retry_after", "true"},
-                       {"limits.max_retry_after_ms", std::to_string(max_retry_after_ms)}});
-      int id = w.submit(2, 5000);
-      double sent_at_ms = w.now_ms;
-      feed(w, 0, 300);
-      w.pass(waited_ms);
-      w.advised = 0;
-      w.end(id, 0, Outcome::reset);
-      ASSERT_TRUE(w.finals.contains(id));
-      if (w.finals.at(id) != Decision::reject) continue;
+      PolicyHarness harness({.ttl = window_ms, .copies = false}, 4, 3,
+                            {{"limits.retry_after", "true"},
+                             {"limits.max_retry_after_ms", std::to_string(max_retry_after_ms)}});
+      int id = harness.submit(2, 5000);
+      double sent_at_ms = harness.now_ms;
+      feed(harness, 0, 300);
+      harness.pass(waited_ms);
+      harness.advised = 0;
+      harness.end(id, 0, Outcome::reset);
+      ASSERT_TRUE(harness.finals.contains(id));
+      if (harness.finals.at(id) != Decision::reject) continue;
       ++rejected;
-      EXPECT_GT(w.advised, 0);
-      EXPECT_LE(w.now_ms + w.advised, sent_at_ms + window_ms) << max_retry_after_ms << " " << waited_ms;
+      EXPECT_GT(harness.advised, 0);
+      EXPECT_LE(harness.now_ms + harness.advised, sent_at_ms + window_ms)
+          << max_retry_after_ms << " " << waited_ms;
     }
-  EXPECT_EQ(rejected, 2);  // of those that have time to come again
+  EXPECT_EQ(rejected, 2);  // the cases in which the client returns before the window ends
 }
 
-// The server has the key with the first byte of a body that arrives slowly.
+// A server may remember the key from the first byte of a request whose body arrives slowly, so the window
+// must not start only when the body is complete.
 TEST(RetryPolicy, KeyWindowBeginsWithTheFirstByte) {
   constexpr double window_ms = 1000;
   constexpr double body_took_ms = 500;
   constexpr double answered_after_ms = 450;
-  PolicyHarness w({.ttl = window_ms, .copies = false}, 4, 3);
+  PolicyHarness harness({.ttl = window_ms, .copies = false}, 4, 3);
   Request request{.request_class = 2,
-                  .arrived_ms = w.now_ms,
-                  .deadline_ms = w.now_ms + 60000,
+                  .arrived_ms = harness.now_ms,
+                  .deadline_ms = harness.now_ms + 60000,
                   .large_body = true,
                   .body_incoming = true};
-  ASSERT_EQ(w.policy.decide(request, w.now_ms).kind, Decision::attempt);
-  w.now_ms += body_took_ms;
-  w.policy.body_complete(request, w.now_ms + 5000, w.now_ms);
-  w.now_ms += answered_after_ms;
+  ASSERT_EQ(harness.policy.decide(request, harness.now_ms).kind, Decision::attempt);
+  harness.now_ms += body_took_ms;
+  harness.policy.body_complete(request, harness.now_ms + 5000, harness.now_ms);
+  harness.now_ms += answered_after_ms;
   request.body_forwarded = true;
-  auto decision =
-      w.policy.attempt_ended(request, {.attempt = 0, .outcome = Outcome::reset, .load_report = {}}, w.now_ms);
-  EXPECT_EQ(decision.kind, Decision::fail);  // a tenth of the window is not used
+  auto decision = harness.policy.attempt_ended(
+      request, {.attempt = 0, .outcome = Outcome::reset, .load_report = {}}, harness.now_ms);
+  EXPECT_EQ(decision.kind, Decision::fail);  // the last tenth of the window is not used
 }
 
-// Shortly before the deadline there is no retry, or the final answer would come after it.
+// A retry shortly before the deadline would delay the final answer past the deadline.
 TEST(RetryPolicy, DoesNotDelayTheFinalAnswer) {
-  PolicyHarness w({}, 4, 3);
-  int id = w.submit(0, 900);
-  w.pass(895);
-  EXPECT_EQ(w.finals.count(id), 1U);
-  EXPECT_EQ(w.sends[0] + w.sends[1] + w.sends[2] + w.sends[3], 1);
+  PolicyHarness harness({}, 4, 3);
+  int id = harness.submit(0, 900);
+  harness.pass(895);
+  EXPECT_EQ(harness.finals.count(id), 1U);
+  EXPECT_EQ(harness.sends[0] + harness.sends[1] + harness.sends[2] + harness.sends[3], 1);
 }
 
-// An attempt that reached no endpoint cost no work: its retry needs no budget.
+// An attempt that reached no endpoint caused no work, so its retry must not be charged to the budget.
 TEST(RetryPolicy, UnreachableEndpointCostsNoBudget) {
-  PolicyHarness w({}, 4, 3);
+  PolicyHarness harness({}, 4, 3);
   for (int i = 0; i < 100; ++i) {
-    int id = w.submit(1, 5000);
-    w.end(id, 0, i % 2 == 0 ? Outcome::unreachable : Outcome::succeeded);
-    w.end(id, 1, Outcome::succeeded);
-    w.pass(20);
+    int id = harness.submit(1, 5000);
+    harness.end(id, 0, i % 2 == 0 ? Outcome::unreachable : Outcome::succeeded);
+    harness.end(id, 1, Outcome::succeeded);
+    harness.pass(20);
   }
-  EXPECT_TRUE(w.finals.empty());
+  EXPECT_TRUE(harness.finals.empty());
 }
 
-// Where hedging is not allowed, an attempt at an unresponsive endpoint is given up in time for a retry.
-TEST(RetryPolicy, AttemptIsGivenUpInTimeForARetry) {
-  PolicyHarness w({.copies = false}, 30, 5, depth_reported);
-  w.load_report_of = [](int) { return LoadReport{2, {80, 0}}; };
+// Without hedging, an attempt at an unresponsive endpoint must time out early enough for a retry to meet the
+// latency objective.
+TEST(RetryPolicy, AttemptTimesOutInTimeForARetry) {
+  PolicyHarness harness({.copies = false}, 30, 5, depth_reported);
+  harness.load_report_of = [](int) { return LoadReport{2, {80, 0}}; };
   for (int i = 0; i < 40; ++i) {
-    int id = w.submit(0, 5000, 0, 100 + i);
-    w.pass(60);
-    w.end(id, 0, Outcome::succeeded);
+    int id = harness.submit(0, 5000, 0, 100 + i);
+    harness.pass(60);
+    harness.end(id, 0, Outcome::succeeded);
   }
-  int id = w.submit(0, 5000, 0, 7);
-  w.pass(1100);  // the target latency is 2000
-  ASSERT_TRUE(w.requests.contains(id));
-  EXPECT_EQ(w.requests.at(id).v.attempt_count, 2);
-  int once = w.submit(1, 5000, 0, 8);
-  w.pass(1100);
-  EXPECT_EQ(w.requests.at(once).v.attempt_count, 1);
-  EXPECT_EQ(w.check.breach, "");
+  int id = harness.submit(0, 5000, 0, 7);
+  harness.pass(1100);  // more than half the latency objective of 2000 ms
+  ASSERT_TRUE(harness.requests.contains(id));
+  EXPECT_EQ(harness.requests.at(id).v.attempt_count, 2);
+  int non_idempotent_id = harness.submit(1, 5000, 0, 8);
+  harness.pass(1100);
+  EXPECT_EQ(harness.requests.at(non_idempotent_id).v.attempt_count, 1);
+  EXPECT_EQ(harness.check.breach, "");
 }
 
 }  // namespace
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Slow start: how many requests a warming endpoint gets.
+// Tests of slow start: the number of requests that a warming endpoint gets.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,55 +13,57 @@
 namespace meadowgauge::test {
 namespace {
 
-TEST(SlowStart, LimitsWhatANewServerGets) {
+TEST(SlowStart, LimitsRequestsToANewServer) {
   RuleSettings rules;
-  PolicyHarness w(rules, 5, 3);
+  PolicyHarness harness(rules, 5, 3);
   auto round = [&](int rounds) {
     for (int i = 0; i < rounds; ++i) {
-      int id = w.submit(0, 5000);
-      w.pass(10);
-      w.end(id, 0, Outcome::succeeded);
+      int id = harness.submit(0, 5000);
+      harness.pass(10);
+      harness.end(id, 0, Outcome::succeeded);
     }
   };
   round(1000);
-  w.entries[0].up_since_ms = w.now_ms;
-  w.update_endpoints(EndpointListUpdate::delta, {w.entries[0]});
-  int before = w.sends[0];
+  harness.entries[0].up_since_ms = harness.now_ms;
+  harness.update_endpoints(EndpointListUpdate::delta, {harness.entries[0]});
+  int before = harness.sends[0];
   round(static_cast<int>(rules.overload_window_ms / 10));
-  EXPECT_GT(w.sends[0] - before, 0);
-  EXPECT_LT(w.sends[0] - before,
+  EXPECT_GT(harness.sends[0] - before, 0);
+  EXPECT_LT(harness.sends[0] - before,
             rules.overload_factor * rules.initial_share * 0.02 *
-                rules.overload_window_ms);  // 0.02 a ms: the rate of a warm endpoint
+                rules.overload_window_ms);  // 0.02 per ms: the rate of a warm endpoint
 }
 
-// Whole tokens at each of a thousand balancers would overload an endpoint at its start.
-TEST(SlowStart, AThousandBalancersSendLittleToOneThatStarts) {
-  int sent = 0, usual = 0;
-  for (int me = 0; me < 200; ++me) {
-    PolicyHarness w({}, 10, 100 + static_cast<std::uint64_t>(me),
-                    {{"replicas_of_me", "200"}, {"my_number", std::to_string(me)}});
+// If each of many balancers started with a whole token, their first requests together would overload an
+// endpoint that has just started.
+TEST(SlowStart, ManyBalancersDoNotOverloadANewEndpoint) {
+  int sent = 0, sent_before_restart = 0;
+  for (int replica = 0; replica < 200; ++replica) {
+    PolicyHarness harness({}, 10, 100 + static_cast<std::uint64_t>(replica),
+                          {{"replicas_of_me", "200"}, {"my_number", std::to_string(replica)}});
     auto request = [&] {
-      int id = w.submit(0, 5000);
-      w.pass(50);
-      w.end(id, 0, Outcome::succeeded);
+      int id = harness.submit(0, 5000);
+      harness.pass(50);
+      harness.end(id, 0, Outcome::succeeded);
     };
-    for (int i = 0; i < 10; ++i) request(), w.pass(250);
-    usual += w.sends[0];
-    w.entries[0].up_since_ms = w.now_ms;
-    w.update_endpoints(EndpointListUpdate::full, w.entries);
-    w.sends.clear();
-    for (int i = 0; i < 5; ++i) request(), w.pass(250);
-    sent += w.sends[0];
+    for (int i = 0; i < 10; ++i) request(), harness.pass(250);
+    sent_before_restart += harness.sends[0];
+    harness.entries[0].up_since_ms = harness.now_ms;
+    harness.update_endpoints(EndpointListUpdate::full, harness.entries);
+    harness.sends.clear();
+    for (int i = 0; i < 5; ++i) request(), harness.pass(250);
+    sent += harness.sends[0];
   }
-  // At its start an endpoint has 0.3 of its capacity; by the rate of warm ones it would get half of `usual`.
-  EXPECT_LT(sent, 0.5 * usual * 0.5);
+  // The endpoint starts with 0.3 of its capacity. At the rate of a warm endpoint it would get half of the
+  // number before the restart, because it is observed for half as many requests.
+  EXPECT_LT(sent, 0.5 * sent_before_restart * 0.5);
   EXPECT_GT(sent, 0);
 }
 
-// The budget holds for the sum of all balancers, for any number of them and uneven traffic: in any window a
-// warming endpoint (one of ten, `rate` requests a ms in all) gets at most its budget N and 2 * sqrt(N) + 2
-// for chance.
-TEST(SlowStart, TheSumOfAllBalancersKeepsToTheBudget) {
+// The balancers together must stay within a warming endpoint's budget, for any number of balancers and uneven
+// traffic. In any overload window the endpoint (one of ten, `rate` requests per ms in total) may get at most
+// its budget plus 2 * sqrt(budget) + 2 for chance.
+TEST(SlowStart, BudgetHoldsForTheSumOfAllBalancers) {
   struct Case {
     int balancers;
     double rate, factor, share;
@@ -79,66 +81,69 @@
     RuleSettings rules{.initial_share = share, .overload_factor = factor};
     std::vector<std::unique_ptr<PolicyHarness>> all;
     std::mt19937 rng(static_cast<std::uint32_t>(balancers));
-    for (int me = 0; me < balancers; ++me)
+    for (int replica = 0; replica < balancers; ++replica)
       all.push_back(std::make_unique<PolicyHarness>(
-          rules, 10, 100 + static_cast<std::uint64_t>(me),
-          Settings{{"replicas_of_me", std::to_string(balancers)}, {"my_number", std::to_string(me)}}));
+          rules, 10, 100 + static_cast<std::uint64_t>(replica),
+          Settings{{"replicas_of_me", std::to_string(balancers)}, {"my_number", std::to_string(replica)}}));
     std::vector<double> sends;
-    double began = 0;
+    double restarted_at_ms = 0;
     auto step = [&, rate = rate] {
-      for (auto& w : all) w->pass(5);
+      for (auto& harness : all) harness->pass(5);
       for (double left = rate * 5 + static_cast<double>(rng() % 1000) / 1000.0; left >= 1; --left) {
         // A third of the balancers have two thirds of the traffic.
         auto third = std::max<std::size_t>(1, all.size() / 3);
-        auto& w = *all[rng() % 3 < 2 ? rng() % third : rng() % all.size()];
-        auto before = w.sends[0];
-        int id = w.submit(0, 5000);
-        if (began > 0 && w.sends[0] > before) sends.push_back(w.now_ms);
-        w.end(id, 0, Outcome::succeeded);
+        auto& harness = *all[rng() % 3 < 2 ? rng() % third : rng() % all.size()];
+        auto before = harness.sends[0];
+        int id = harness.submit(0, 5000);
+        if (restarted_at_ms > 0 && harness.sends[0] > before) sends.push_back(harness.now_ms);
+        harness.end(id, 0, Outcome::succeeded);
       }
     };
     while (all[0]->now_ms < 108000) step();
-    began = all[0]->now_ms;
-    for (auto& w : all) {
-      w->entries[0].up_since_ms = began;
-      w->update_endpoints(EndpointListUpdate::full, w->entries);
+    restarted_at_ms = all[0]->now_ms;
+    for (auto& harness : all) {
+      harness->entries[0].up_since_ms = restarted_at_ms;
+      harness->update_endpoints(EndpointListUpdate::full, harness->entries);
     }
-    while (all[0]->now_ms < began + 8000) step();
+    while (all[0]->now_ms < restarted_at_ms + 8000) step();
     if (rate > 0.05) {
       EXPECT_GT(sends.size(), 2u) << balancers;
     }
     for (std::size_t i = 0, j = 0; j < sends.size(); ++j) {
       while (sends[j] - sends[i] >= rules.overload_window_ms) ++i;
-      double grown = rules.initial_share +
-                     (1 - rules.initial_share) * std::min(1.0, (sends[i] - began) / rules.slow_start_ms);
-      double n = rate / 10 * rules.overload_window_ms * rules.overload_factor * grown;
-      EXPECT_LE(static_cast<double>(j - i + 1), n + 2 * std::sqrt(n) + 2)
-          << balancers << " at " << sends[j] - began;
+      double capacity_fraction =
+          rules.initial_share +
+          (1 - rules.initial_share) * std::min(1.0, (sends[i] - restarted_at_ms) / rules.slow_start_ms);
+      double budget = rate / 10 * rules.overload_window_ms * rules.overload_factor * capacity_fraction;
+      EXPECT_LE(static_cast<double>(j - i + 1), budget + 2 * std::sqrt(budget) + 2)
+          << balancers << " at " << sends[j] - restarted_at_ms;
     }
   }
 }
 
-// With no warm endpoint the budgets never fill: requests go one at a time.
+// Without any warm endpoint there is no success rate, so the token buckets are never refilled. Requests must
+// still be sent, one at a time.
 TEST(SlowStart, TierOfNewServersIsUsedOneRequestAtATime) {
-  PolicyHarness w({}, 3, 5);
-  for (auto& e : w.entries) e.up_since_ms = w.now_ms - 1;
-  w.update_endpoints(EndpointListUpdate::full, w.entries);
-  w.stream(0, 50, 2000, [](int) { return 20.0; });
-  EXPECT_GT(w.sends[0] + w.sends[1] + w.sends[2], 30);
-  EXPECT_EQ(w.check.breach, "");
+  PolicyHarness harness({}, 3, 5);
+  for (auto& e : harness.entries) e.up_since_ms = harness.now_ms - 1;
+  harness.update_endpoints(EndpointListUpdate::full, harness.entries);
+  harness.stream(0, 50, 2000, [](int) { return 20.0; });
+  EXPECT_GT(harness.sends[0] + harness.sends[1] + harness.sends[2], 30);
+  EXPECT_EQ(harness.check.breach, "");
 }
 
-// A warming endpoint may still work on a request whose client has disconnected: it pauses before the next.
-TEST(SlowStart, LoneServerRestsAfterACancelledRequest) {
-  PolicyHarness w({}, 1, 5);
-  w.entries[0].up_since_ms = w.now_ms - 1;
-  w.update_endpoints(EndpointListUpdate::full, w.entries);
+// A warming endpoint may still be working on a request after the client has disconnected, so there must be a
+// pause before the next request to that endpoint.
+TEST(SlowStart, PausesAfterACancelledRequest) {
+  PolicyHarness harness({}, 1, 5);
+  harness.entries[0].up_since_ms = harness.now_ms - 1;
+  harness.update_endpoints(EndpointListUpdate::full, harness.entries);
   for (int i = 0; i < 20; ++i) {
-    w.leave(w.submit(0, 5000));
-    w.pass(20);
+    harness.leave(harness.submit(0, 5000));
+    harness.pass(20);
   }
-  EXPECT_EQ(w.check.breach, "");
-  EXPECT_LE(w.sends[0], 2);
+  EXPECT_EQ(harness.check.breach, "");
+  EXPECT_LE(harness.sends[0], 2);
 }
 
 }  // namespace
