--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-// Interval between sweeps of unused endpoint indices, drain aliases and buffers.
+// Interval between the releases of unused endpoint indices, drain aliases and buffers.
 constexpr double sweep_interval_ms = 200;
-// A turn that works longer, or wakes later behind its due time, is logged.
+// A loop turn is logged if it works for this long, or begins this long after its due time.
 constexpr double slow_turn_ms = 20;
 
 }  // namespace
@@ -26,7 +26,7 @@
       turns_(now_ms_),
       log_(std::move(log)),
       proxy_settings_(read_proxy_settings(setup.settings, log_)),
-      descriptors_(descriptors_beside_admin(setup.descriptors, setup.mgmt.has_value())),
+      descriptors_(descriptors_without_admin_server(setup.descriptors, setup.mgmt.has_value())),
       buffers_(setup.memory_mb * 1024 * 1024 / 2 / transport::buffer_size),
       pool_(buffers_),
       policy_(setup.settings, setup.seed, now_ms_),
@@ -72,7 +72,7 @@
   discovery_.start();
 }
 
-// --- A turn ----------------------------------------------------------------------------------------------
+// --- The loop turn --------------------------------------------------------------------------------------
 
 void Balancer::run() {
   while (!shutdown_.finished()) {
@@ -101,7 +101,7 @@
   log_(Level::debug, message, {{"work_ms", turn.work_ms}, {"late_ms", turn.late_ms}});
 }
 
-// When the next deadline is due; now if work is queued.
+// When the next turn is due: at the earliest deadline, or now if work is queued.
 double Balancer::next_due_ms() {
   bool idle = !requests_.has_commands() && upstreams_.events().empty() && downstream_.events().empty() &&
               discovery_.updates().empty();
@@ -112,7 +112,7 @@
 void Balancer::gather_events() {
   apply_watch_events();
   log_initial_list(initial_list_.time_passed(now_ms_));
-  // Outcomes first: the capacity that they free serves the new requests.
+  // Upstream events first: ended attempts free capacity for the new requests.
   for (auto& event : std::exchange(upstreams_.events(), {})) requests_.upstream_event(event);
   apply_due_times();
   for (auto& event : std::exchange(downstream_.events(), {})) requests_.downstream_event(event);
@@ -163,7 +163,7 @@
 void Balancer::tick() {
   tick_at_ms_ = std::max(tick_at_ms_, now_ms_ - policy_.tick_interval_ms()) + policy_.tick_interval_ms();
   auto actions = policy_.tick(now_ms_);
-  // The policy's request for a list needs no action, because the watch on discovery is always open.
+  // The policy's request for an endpoint list needs no action, because the watch on discovery is always open.
   for (const auto& event : actions.events) log_policy_event(log_, event, upstreams_.endpoints());
   upstreams_.close_expired_connections();
   upstreams_.stream_held_responses();
--- a/src/proxy/balancer.hpp
+++ b/src/proxy/balancer.hpp
@@ -1,5 +1,5 @@
-// One balancer on sockets. Each turn of its loop gathers events, passes them to the policy, and carries out
-// the actions that the policy decides on.
+// One balancer with its sockets. Each turn of its loop collects events, passes them to the policy and
+// executes the policy's decisions.
 #pragma once
 
 #include <cstdint>
@@ -29,24 +29,25 @@
 
 namespace meadowgauge::proxy {
 
-// A configuration, independent of the file format. The program reads it.
+// The configuration, independent of the file format. Read by the program.
 struct Setup {
   std::string name;
   transport::Address listen;
-  std::optional<transport::Address> discovery;  // absent: `known` is the list until a reload
+  std::optional<transport::Address> discovery;  // absent: `known` is the endpoint list until a reload
   std::optional<transport::Address> mgmt;       // address of the admin server, if any
   bool shared = false;                          // another process may listen on the same address
-  bool later = false;                           // binds at the start, listens from listen() on
+  bool later = false;                           // binds in the constructor, listens in listen()
   std::uint64_t seed = 1;
-  std::size_t descriptors = 1024;
-  std::size_t memory_mb = 192;
+  std::size_t descriptors = 1024;  // limit of open file descriptors
+  std::size_t memory_mb = 192;     // memory limit; half of it is for buffers
   // Duration of the drain after SIGTERM, in ms; absent: the maximum client timeout, up to a bound.
   std::optional<double> leave_ms;
   Settings settings;
-  protocol::EndpointList known;
-  std::optional<fleet::FleetConfig> fleet;  // from the operator's own file format only
+  protocol::EndpointList known;             // the configured endpoint list
+  std::optional<fleet::FleetConfig> fleet;  // only if the configuration is in the operator's own file format
 };
 
+// Owns the parts of the proxy and runs their event loop.
 class Balancer final {
  public:
   // Binds, and listens unless `setup.later`. Throws std::system_error on failure. `loop` outlives the
@@ -55,20 +56,22 @@
   [[nodiscard]] transport::Address address() const { return downstream_.address(); }
   // Serves until the graceful shutdown has finished.
   void run();
-  // Begins the graceful shutdown: drains, answers the requests in flight, then stops.
+  // Begins the graceful shutdown: drains, answers the requests in flight, then run() returns.
   void begin_shutdown();
-  // Moves the watch to the new configuration's discovery, or applies its list. Other changes need a restart.
+  // Moves the watch to the new configuration's discovery, or applies its endpoint list. Other changes need a
+  // restart.
   void reload(const Setup& setup);
   // Counts a new configuration that could not be read.
   void reload_failed() { ++reloads_failed_; }
-  // Sets the program's periodic work, called with every tick of the policy.
+  // Sets the program's periodic work, which is called at every tick of the policy.
   void on_tick(std::function<void()> work) { on_tick_ = std::move(work); }
 
   // Sets a filter that each request passes before the policy; it outlives the balancer. Null: no filter.
   void set_request_filter(RequestFilter* filter);
 
+  // Whether the process listens, may serve and is not shutting down.
   [[nodiscard]] bool ready() const { return shutdown_.serving() && listening() && may_serve(); }
-  // False while a new process awaits its first endpoint list and rejects all requests.
+  // False while a new process waits for its first endpoint list and rejects all requests.
   [[nodiscard]] bool may_serve() const { return initial_list_.may_serve(); }
   [[nodiscard]] bool listening() const { return downstream_.listening(); }
   // True once discovery has sent an endpoint list, or without discovery.
@@ -76,19 +79,22 @@
   void listen() { downstream_.listen(); }
   // Claims the new connections from `others` older processes that listen on the same address.
   void take_new_connections(int others);
-  // Limits the use of memory and descriptors to this share of the whole, 0 to 1.
+  // Limits the use of buffers and descriptors to this share of the configured limits, 0 to 1, while several
+  // processes run side by side.
   void limit_to_share(double share);
-  // Hands new connections over to a successor; each open connection closes after its next response.
+  // Leaves new connections to a successor. Each open connection closes after its next response.
   void yield_to_successor();
-  // The learned state, in a form that another process of this balancer can restore.
+  // The learned state, keyed by server names so that a successor process can restore it.
   [[nodiscard]] LearnedState learned_state() const;
   void restore_learned_state(const LearnedState& learned_state);
 
-  // Server ids, equal at every balancer: of the listed servers, and of those that this policy has ejected.
+  // The server ids (equal at every balancer) of the listed servers, and of those that this policy has
+  // ejected.
   [[nodiscard]] std::vector<std::uint32_t> listed_servers() const { return endpoints_.listed_server_ids(); }
   [[nodiscard]] std::vector<std::uint32_t> ejected_servers() const;
   void gossip_received(const GossipContent& gossip) { policy_.gossip_received(gossip, now_ms_); }
-  // It is this balancer's turn to try these servers, which the fleet has ejected, and no others.
+  // Sets the servers ejected by the fleet to which this balancer sends trial requests now; replaces the
+  // previous set.
   void request_trials(const std::vector<std::uint32_t>& server_ids) { policy_.request_trials(server_ids); }
 
   [[nodiscard]] Metrics metrics() const;
@@ -114,8 +120,8 @@
   transport::TurnMeter turns_;
   Logger log_;
   ProxySettings proxy_settings_;
-  std::size_t descriptors_;  // limit without a process beside this one
-  std::size_t buffers_;      // limit without a process beside this one
+  std::size_t descriptors_;  // limit while no other process runs beside this one
+  std::size_t buffers_;      // limit while no other process runs beside this one
   transport::Pool pool_;
   RequestCounters counters_;
   transport::DueTimes due_;
--- a/src/proxy/descriptor_budget.cpp
+++ b/src/proxy/descriptor_budget.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Descriptors for everything but downstream and upstream connections.
+// Descriptors for everything except the admin server and the downstream and upstream connections.
 constexpr std::size_t reserved_descriptors = 24;
 // Descriptors for the admin server's connections and files.
 constexpr std::size_t admin_server_descriptors = 20;
-// Shares of the remaining descriptors.
+// Shares of the descriptors that remain after `reserved_descriptors`.
 constexpr double downstream_share = 0.48;
 constexpr double downstream_overflow_share = 0.1;
 constexpr double upstream_share = 0.42;
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-std::size_t descriptors_beside_admin(std::size_t descriptors, bool has_admin_server) {
+std::size_t descriptors_without_admin_server(std::size_t descriptors, bool has_admin_server) {
   return descriptors - std::min(descriptors, has_admin_server ? admin_server_descriptors : 0);
 }
 
--- a/src/proxy/downstream/connection.hpp
+++ b/src/proxy/downstream/connection.hpp
@@ -1,4 +1,4 @@
-// The state of one client connection. Included by the sources of DownstreamConnections only.
+// The state of one client connection. Included only by the source files of DownstreamConnections.
 #pragma once
 
 #include <cstddef>
@@ -10,14 +10,15 @@
 
 namespace meadowgauge::proxy {
 
-// Reads of one connection per loop turn, for fairness.
+// Limit of reads from one connection per loop turn, so that other connections get their turn.
 inline constexpr int reads_per_turn = 8;
-// From connecting, or from a later request's first byte, until the request is complete. Clients are near: a
-// slower client is silent or sends byte by byte, and keeps a descriptor from others.
+// Time from connecting, or from a later request's first byte, until the request is complete. Clients are
+// near, so a slower client is silent or sends byte by byte, and would hold a descriptor that others need.
 inline constexpr double request_timeout_ms = 2500;
-// A connection closes when its client takes no byte of a response for this long.
+// A connection is closed if its client receives no byte of a response for this time.
 inline constexpr double send_stall_ms = 10000;
 
+// One client connection. Owned by DownstreamConnections, which contains all the logic.
 struct DownstreamConnections::Connection final : transport::Ready {
   enum class State : std::uint8_t {
     reading,     // receiving a request, or idle between requests
@@ -27,10 +28,10 @@
     closed
   };
 
-  // How RequestCounters include the request.
+  // How the request is included in RequestCounters.
   enum class Accounting : std::uint8_t {
     none,           // no request, or it is not counted
-    awaiting_body,  // its outcome will be counted; not in flight before its last byte
+    awaiting_body,  // its outcome will be counted; counted as in flight from its last byte on
     in_flight       // counted as in flight
   };
 
@@ -44,24 +45,24 @@
   State state = State::reading;
   // The client has closed the connection, or its sending side. epoll may report that only once.
   bool peer_closed = false;
-  bool gone = false;                          // client_gone is reported
-  bool has_sent_request = false;              // a complete request was received
+  bool gone_reported = false;                 // client_gone has been reported
+  bool has_sent_request = false;              // a complete request has been received
   double due_ms = transport::DueTimes::none;  // time of the deadline
-  std::optional<ShedPosition> shed_position;  // absent while it can't be shed
+  std::optional<ShedPosition> shed_position;  // absent while the connection can't be shed
 
-  // The request that is being received or in flight.
+  // The request that is being received or is in flight.
   SharedMessage request;
   bool keep_alive = true;
-  bool head_only = false;
+  bool head_only = false;  // HEAD: the response has no body
   bool http_1_0 = false;
-  bool continue_sent = false;  // 100 Continue
-  bool body_incoming = false;  // the request is in flight, its body incomplete
-  // body_received is reported, and request_body_forwarded() has not followed yet.
+  bool continue_sent = false;  // 100 Continue has been sent
+  bool body_incoming = false;  // the request is in flight, and its body is incomplete
+  // body_received has been reported, and request_body_forwarded() has not been called since.
   bool body_event_pending = false;
-  // Deadline of the body before the extension by received bytes, in ms; 0: no body.
+  // Deadline of the body without the extension by received bytes, in ms; 0: no body.
   double body_due_base_ms = 0;
   std::size_t body_bytes = 0;  // received
-  // When reading paused because the buffer was full; 0: not paused.
+  // The time when reading paused because the buffer was full; 0: not paused.
   double paused_at_ms = 0;
   int request_class = -1;
   Accounting accounting = Accounting::none;
--- a/src/proxy/downstream/connections.cpp
+++ b/src/proxy/downstream/connections.cpp
@@ -22,28 +22,29 @@
 
 void DownstreamConnections::ready(std::uint32_t) { accept_all(); }
 
-void DownstreamConnections::ready(Connection& c, std::uint32_t events) {
-  c.peer_closed = c.peer_closed || (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
-  switch (c.state) {
+void DownstreamConnections::ready(Connection& connection, std::uint32_t events) {
+  connection.peer_closed = connection.peer_closed || (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
+  switch (connection.state) {
     case Connection::State::reading:
-      read_request(c);
-      if (c.state != Connection::State::in_flight) break;
+      read_request(connection);
+      if (connection.state != Connection::State::in_flight) break;
       [[fallthrough]];  // more of the body may have arrived
     case Connection::State::in_flight:
-      if (c.body_incoming) {
-        read_request_body(c);
-        if (c.body_incoming) break;
+      if (connection.body_incoming) {
+        read_request_body(connection);
+        if (connection.body_incoming) break;
       }
-      // With a complete request in flight nothing is read, so only the event shows the client's close.
-      if (c.peer_closed) report_gone(c);
+      // Nothing is read while a complete request is in flight, so only the event shows that the client has
+      // closed.
+      if (connection.peer_closed) report_client_gone(connection);
       break;
     case Connection::State::responding:
-      // Reset. EPOLLRDHUP alone may be a half-close: such a client still reads.
-      if (c.response && events & (EPOLLHUP | EPOLLERR)) return close(c);
-      continue_sending(c);
+      // The connection was reset. EPOLLRDHUP alone may be a half-close, after which the client still reads.
+      if (connection.response && events & (EPOLLHUP | EPOLLERR)) return close(connection);
+      continue_sending(connection);
       break;
     case Connection::State::lingering:
-      return discard_input(c);
+      return discard_input(connection);
     case Connection::State::closed:
       break;
   }
@@ -54,86 +55,90 @@
     due_.set(transport::due_key(due_kind, accept_retry_id), accept_retry_due_, transport::DueTimes::none);
     return retry_accept();
   }
-  auto& c = *connections_.at(id);
-  bool reading = c.state == Connection::State::reading;
-  bool body_incoming = c.state == Connection::State::in_flight && c.body_incoming;
-  // Reads first: the request's last byte may have arrived whose event is still queued, as a turn has a limit
-  // of events.
+  auto& connection = *connections_.at(id);
+  bool reading = connection.state == Connection::State::reading;
+  bool body_incoming = connection.state == Connection::State::in_flight && connection.body_incoming;
+  // Reads first: the request's last byte may have arrived although its event is not dispatched yet, because
+  // the number of events per loop turn is limited.
   if (reading || body_incoming) {
     if (reading)
-      read_request(c);
+      read_request(connection);
     else
-      read_request_body(c);
-    if (c.due_ms > now_ms_) return;
+      read_request_body(connection);
+    if (connection.due_ms > now_ms_) return;
   }
-  if (c.state == Connection::State::reading && c.request && c.request->started())
-    return respond_and_close(c, 408);
-  if (c.state == Connection::State::in_flight && c.body_incoming) {
-    report_gone(c);
-    return respond_and_close(c, 408);
+  if (connection.state == Connection::State::reading && connection.request && connection.request->started())
+    return respond_and_close(connection, 408);
+  if (connection.state == Connection::State::in_flight && connection.body_incoming) {
+    report_client_gone(connection);
+    return respond_and_close(connection, 408);
   }
-  close(c);
+  close(connection);
 }
 
-// The connection's deadline, in ms from now; replaces the former deadline.
-void DownstreamConnections::set_deadline(Connection& c, double ms) {
-  due_.set(transport::due_key(due_kind, c.id), c.due_ms, now_ms_ + ms);
+// Sets the connection's deadline to `ms` from now; replaces the former deadline.
+void DownstreamConnections::set_deadline(Connection& connection, double ms) {
+  due_.set(transport::due_key(due_kind, connection.id), connection.due_ms, now_ms_ + ms);
 }
 
-void DownstreamConnections::clear_deadline(Connection& c) {
-  due_.set(transport::due_key(due_kind, c.id), c.due_ms, transport::DueTimes::none);
+void DownstreamConnections::clear_deadline(Connection& connection) {
+  due_.set(transport::due_key(due_kind, connection.id), connection.due_ms, transport::DueTimes::none);
 }
 
 void DownstreamConnections::set_request_class(ClientId id, int request_class) {
   auto it = connections_.find(id);
   if (it == connections_.end()) return;
-  auto& c = *it->second;
-  c.request_class = request_class;
-  if (request_class < 0) end_accounting(c);
+  auto& connection = *it->second;
+  connection.request_class = request_class;
+  if (request_class < 0) end_accounting(connection);
 }
 
 // Ends the accounting of the request. False: the request was not counted.
-bool DownstreamConnections::end_accounting(Connection& c) {
-  auto accounting = std::exchange(c.accounting, Connection::Accounting::none);
+bool DownstreamConnections::end_accounting(Connection& connection) {
+  auto accounting = std::exchange(connection.accounting, Connection::Accounting::none);
   if (accounting == Connection::Accounting::in_flight) --counters_.in_flight;
   return accounting != Connection::Accounting::none;
 }
 
 // Counts the end of a request. `status`: of the response, or 500 if the connection closed before it.
-void DownstreamConnections::count_outcome(Connection& c, int status) {
-  if (!end_accounting(c)) return;
-  counters_.count(c.request_class, status);
+void DownstreamConnections::count_outcome(Connection& connection, int status) {
+  if (!end_accounting(connection)) return;
+  counters_.count(connection.request_class, status);
 }
 
-// Between requests, with no byte of the next request received.
-bool DownstreamConnections::idle(const Connection& c) {
-  return c.state == Connection::State::reading && !(c.request && c.request->started()) &&
-         c.stream.bytes().empty() && c.stream.quiet();
+// Whether the connection is between requests, with no byte of the next request received.
+bool DownstreamConnections::idle(const Connection& connection) {
+  return connection.state == Connection::State::reading &&
+         !(connection.request && connection.request->started()) && connection.stream.bytes().empty() &&
+         connection.stream.quiet();
 }
 
 void DownstreamConnections::drain() {
   draining_ = true;
-  std::vector<Connection*> all;
-  for (auto& [id, c] : connections_)
-    if (idle(*c)) all.push_back(c.get());
-  for (auto* c : all) close(*c);
+  std::vector<Connection*> idle_connections;
+  for (auto& [id, connection] : connections_)
+    if (idle(*connection)) idle_connections.push_back(connection.get());
+  for (auto* connection : idle_connections) close(*connection);
 }
 
-void DownstreamConnections::report_gone(Connection& c) {
-  if (!c.gone) events_.push_back({.kind = DownstreamEvent::client_gone, .client = c.id});
-  c.gone = true;
+// Reports client_gone, once per connection.
+void DownstreamConnections::report_client_gone(Connection& connection) {
+  if (!connection.gone_reported)
+    events_.push_back({.kind = DownstreamEvent::client_gone, .client = connection.id});
+  connection.gone_reported = true;
 }
 
-// Every close of a connection goes through here.
-void DownstreamConnections::close(Connection& c) {
-  if (c.state == Connection::State::closed) return;
-  if (c.state == Connection::State::in_flight || c.response) report_gone(c);
-  count_outcome(c, 500);
-  c.state = Connection::State::closed;
-  keep_from_shedding(c);
-  clear_deadline(c);
-  c.stream.close();
-  auto it = connections_.find(c.id);
+// The only function that closes a connection. The object lives until destroy_closed(), because callers still
+// refer to it.
+void DownstreamConnections::close(Connection& connection) {
+  if (connection.state == Connection::State::closed) return;
+  if (connection.state == Connection::State::in_flight || connection.response) report_client_gone(connection);
+  count_outcome(connection, 500);
+  connection.state = Connection::State::closed;
+  unmark_sheddable(connection);
+  clear_deadline(connection);
+  connection.stream.close();
+  auto it = connections_.find(connection.id);
   closed_.push_back(std::move(it->second));
   connections_.erase(it);
 }
--- a/src/proxy/downstream/connections.hpp
+++ b/src/proxy/downstream/connections.hpp
@@ -1,5 +1,5 @@
-// Client connections: parse requests, and send one response to each. Collects events for the loop turn;
-// callers address a connection by its ClientId.
+// Client connections: accepts them, parses their requests and sends one response to each request. Collects
+// events for the loop turn; callers address a connection by its ClientId.
 #pragma once
 
 #include <cstddef>
@@ -23,12 +23,13 @@
 // Identifies a client connection; never reused.
 using ClientId = std::uint64_t;
 
+// An event of a client connection, collected for the loop turn.
 struct DownstreamEvent {
   enum Kind : std::uint8_t {
     request_received,  // the request is complete, or its body exceeds the buffer
-    body_received,     // more of a body that exceeds the buffer is received, or its end
-    response_taken,    // the client has taken part of a streamed response
-    client_gone        // the client left with its request unanswered
+    body_received,     // more bytes, or the end, of a body that exceeds the buffer
+    response_taken,    // part of a streamed response was moved to the connection's send queue
+    client_gone        // the client left, timed out or sent a malformed body before the final response
   } kind = request_received;
   ClientId client = 0;
   SharedMessage message = {};  // with request_received only
@@ -36,10 +37,11 @@
 
 // Bounds on open client connections.
 struct ConnectionLimits {
-  std::size_t max_served = 0;    // connections meant to be served at a time
-  std::size_t max_overflow = 0;  // further connections whose requests are read to be rejected
+  std::size_t max_served = 0;    // connections served at a time
+  std::size_t max_overflow = 0;  // further connections, whose requests are read only to be rejected
 };
 
+// Owns the listener and all client connections, and sheds connections if descriptors run short.
 class DownstreamConnections final : transport::Ready {
  public:
   static constexpr std::uint8_t due_kind = 4;  // DueKey kind
@@ -52,21 +54,21 @@
     const double& now_ms;  // time of the loop turn
     RequestCounters& counters;
   };
-  // Starts to listen, unless `how.later`. Throws std::system_error if it can't bind or listen.
+  // Binds, and listens unless `how.later`. Throws std::system_error on failure.
   DownstreamConnections(const Parts& parts, const transport::Address& listen, const ConnectionLimits& limits,
                         transport::Listener::How how);
   ~DownstreamConnections();
   DownstreamConnections(const DownstreamConnections&) = delete;
   DownstreamConnections& operator=(const DownstreamConnections&) = delete;
 
-  // Collected events; the caller clears them.
+  // The collected events; the caller clears them.
   [[nodiscard]] std::vector<DownstreamEvent>& events() { return events_; }
 
-  // Sends the response to the client's request in flight. No effect if the client is gone or answered.
-  // Without buffers, sends a bare 500 and closes the connection.
+  // Sends the response to the client's request in flight. No effect if the client is gone or its request is
+  // answered. If the pool has no buffers left, sends a bare 500 and closes the connection.
   void send_response(ClientId id, const protocol::Message& response);
-  // Sends a response of the proxy itself. `extra`: complete header lines.
-  void respond(ClientId id, int status, std::string_view extra, std::string_view body);
+  // Sends a response of the proxy itself. `header_lines`: further header lines, each with its line end.
+  void respond(ClientId id, int status, std::string_view header_lines, std::string_view body);
   // Sends a response without a body, and closes the connection after it.
   void respond_and_close(ClientId id, int status);
   // A streamed response: begin_response() sends the head and the received part of the body;
@@ -75,14 +77,14 @@
   void begin_response(ClientId id, SharedMessage response);
   void continue_response(ClientId id);
   void abort_response(ClientId id);
-  // The buffered part of the request's body is forwarded: reads on.
+  // The buffered part of the request's body has been forwarded: continues to read the body.
   void request_body_forwarded(ClientId id);
   // Sets the class under which the client's request is counted; -1: not counted.
   void set_request_class(ClientId id, int request_class);
 
   // The connection's due time has been reached.
   void deadline_reached(ClientId id);
-  // Accepts again after descriptors ran out. Called periodically.
+  // Accepts again if accepting is blocked for lack of capacity or descriptors. Called periodically.
   void retry_accept();
   // Destroys the connections that were closed in this loop turn.
   void destroy_closed();
@@ -90,11 +92,12 @@
   [[nodiscard]] transport::Address address() const { return listener_.address(); }
   void listen() { listener_.listen(); }
   [[nodiscard]] bool listening() const { return listener_.listening(); }
-  // Listener::take_new_connections().
+  // See Listener::take_new_connections().
   bool take_new_connections(std::uint32_t nth) { return listener_.take_new_connections(nth); }
   // Accepts the queued connections, then closes the listener.
   void stop_accepting();
-  // Closes each connection after its next response; idle connections stay open for a request on the wire.
+  // Closes each connection after its next response. Idle connections stay open, because a request may be on
+  // the wire.
   void close_after_responses() { draining_ = true; }
   // Closes each connection after its next response, and idle connections at once.
   void drain();
@@ -105,7 +108,7 @@
     partial_request,  // also with an incomplete first request, after its grace
     any               // also within the grace
   };
-  // Closes the first connection in the order of ShedClass. False: there is none.
+  // Closes the first connection in the order of ShedClass that `scope` permits. False: there is none.
   bool shed(ShedScope scope);
   // Sets the limits; closes idle connections above them.
   void set_limits(const ConnectionLimits& limits);
@@ -114,7 +117,7 @@
 
  private:
   struct Connection;
-  // The order of shedding; within a class the oldest first.
+  // The order of shedding; within a class the connection that has been in it longest is shed first.
   enum class ShedClass : std::uint8_t {
     silent,          // no byte since connecting
     lingering,       // the last response is sent
@@ -125,41 +128,41 @@
 
   // Events of sockets.
   void ready(std::uint32_t events) override;
-  void ready(Connection& c, std::uint32_t events);
+  void ready(Connection& connection, std::uint32_t events);
   void accept_all();
 
   // Requests.
-  void read_request(Connection& c);
-  bool parse_request(Connection& c);
-  void request_progressed(Connection& c);
-  static bool continue_if_expected(Connection& c);
-  void read_request_body(Connection& c);
-  bool parse_request_body(Connection& c);
-  void request_body_complete(Connection& c);
-  bool receive(Connection& c);
-  bool feed(Connection& c);
-  void request_received(Connection& c);
+  void read_request(Connection& connection);
+  bool parse_request(Connection& connection);
+  void request_progressed(Connection& connection);
+  static bool continue_if_expected(Connection& connection);
+  void read_request_body(Connection& connection);
+  bool parse_request_body(Connection& connection);
+  void request_body_complete(Connection& connection);
+  bool receive(Connection& connection);
+  bool feed(Connection& connection);
+  void request_received(Connection& connection);
 
   // Responses.
-  Connection* awaiting_response(ClientId id);
-  void respond_and_close(Connection& c, int status);
-  void start_sending(Connection& c, bool written);
-  void continue_sending(Connection& c);
-  void pump_response(Connection& c);
-  void discard_input(Connection& c);
-  [[nodiscard]] bool is_last_response(const Connection& c) const;
+  Connection* find_unanswered(ClientId id);
+  void respond_and_close(Connection& connection, int status);
+  void start_sending(Connection& connection, bool written);
+  void continue_sending(Connection& connection);
+  void forward_response(Connection& connection);
+  void discard_input(Connection& connection);
+  [[nodiscard]] bool is_last_response(const Connection& connection) const;
 
   // Deadline, shedding and close of a connection.
-  void set_deadline(Connection& c, double ms);
-  void clear_deadline(Connection& c);
-  void offer_to_shed(Connection& c, ShedClass shed_class);
-  void keep_from_shedding(Connection& c);
-  void report_gone(Connection& c);
-  void count_in_flight(Connection& c);
-  bool end_accounting(Connection& c);
-  void count_outcome(Connection& c, int status);
-  void close(Connection& c);
-  [[nodiscard]] static bool idle(const Connection& c);
+  void set_deadline(Connection& connection, double ms);
+  void clear_deadline(Connection& connection);
+  void mark_sheddable(Connection& connection, ShedClass shed_class);
+  void unmark_sheddable(Connection& connection);
+  void report_client_gone(Connection& connection);
+  void count_in_flight(Connection& connection);
+  bool end_accounting(Connection& connection);
+  void count_outcome(Connection& connection, int status);
+  void close(Connection& connection);
+  [[nodiscard]] static bool idle(const Connection& connection);
 
   transport::Loop& loop_;
   transport::Pool& pool_;
@@ -168,10 +171,11 @@
   ConnectionLimits limits_;
   RequestCounters& counters_;
   transport::Listener listener_;
-  bool accept_blocked_ = false;  // accepting stopped for want of capacity or descriptors
-  bool draining_ = false;
-  bool stopping_ = false;
-  static constexpr ClientId accept_retry_id = 0;  // the due time of the next attempt to accept
+  bool accept_blocked_ = false;  // accepting stopped for lack of capacity or descriptors
+  bool draining_ = false;        // each connection closes after its next response
+  bool stopping_ = false;        // the listener closes once all queued connections are accepted
+  static constexpr ClientId accept_retry_id =
+      0;  // stands for the next attempt to accept, among the due times
   double accept_retry_due_ = transport::DueTimes::none;
   ClientId next_id_ = accept_retry_id + 1;
   std::unordered_map<ClientId, std::unique_ptr<Connection>> connections_;
--- a/src/proxy/downstream/requests.cpp
+++ b/src/proxy/downstream/requests.cpp
@@ -15,159 +15,166 @@
 
 namespace {
 
-// A body's deadline: `body_grace_ms` after the request's head, at most `max_body_grace_ms` after the deadline
-// of a request without a body, extended by the received bytes at `min_body_bytes_per_ms`.
+// The deadline of a body: `body_grace_ms` after the request's head, but at most `max_body_grace_ms` after the
+// deadline that a request without a body has. Each received byte extends it, at `min_body_bytes_per_ms`.
 constexpr double body_grace_ms = 800;
 constexpr double max_body_grace_ms = 400;
 constexpr double min_body_bytes_per_ms = 32;
 
 }  // namespace
 
-void DownstreamConnections::read_request(Connection& c) {
+void DownstreamConnections::read_request(Connection& connection) {
   for (int i = 0; i < reads_per_turn; ++i) {
-    while (!c.stream.bytes().empty())
-      if (!parse_request(c)) return;
-    if (!continue_if_expected(c)) return close(c);
-    if (!receive(c)) return;
+    while (!connection.stream.bytes().empty())
+      if (!parse_request(connection)) return;
+    if (!continue_if_expected(connection)) return close(connection);
+    if (!receive(connection)) return;
   }
-  c.stream.again(EPOLLIN);
+  connection.stream.again(EPOLLIN);
 }
 
-// Parses the received part of a request. False: the request is complete or refused, or no buffer is free.
-bool DownstreamConnections::parse_request(Connection& c) {
-  if (!c.request)
-    c.request = std::make_shared<Message>(pool_, Message::Kind::request, Message::Body::streaming);
-  request_progressed(c);
-  bool had_head = c.request->head_complete();
-  bool fed = feed(c);
-  if (c.request->fault() != Fault::none) {
-    respond_and_close(c, static_cast<int>(c.request->fault()));
+// Parses the received part of a request. False: the request is complete or malformed, or no buffer is free.
+bool DownstreamConnections::parse_request(Connection& connection) {
+  if (!connection.request)
+    connection.request = std::make_shared<Message>(pool_, Message::Kind::request, Message::Body::streaming);
+  request_progressed(connection);
+  bool had_head = connection.request->head_complete();
+  bool fed = feed(connection);
+  if (connection.request->fault() != Fault::none) {
+    respond_and_close(connection, static_cast<int>(connection.request->fault()));
     return false;
   }
-  bool body_begins = !had_head && c.request->head_complete() && !c.request->complete();
+  bool body_begins = !had_head && connection.request->head_complete() && !connection.request->complete();
   if (body_begins)
-    c.body_due_base_ms = std::max(c.due_ms, std::min(now_ms_ + body_grace_ms, c.due_ms + max_body_grace_ms));
-  if (c.request->complete() || c.request->buffer_full()) {
-    request_received(c);
+    connection.body_due_base_ms =
+        std::max(connection.due_ms, std::min(now_ms_ + body_grace_ms, connection.due_ms + max_body_grace_ms));
+  if (connection.request->complete() || connection.request->buffer_full()) {
+    request_received(connection);
     return false;
   }
-  if (!fed) c.stream.again(EPOLLIN);
+  if (!fed) connection.stream.again(EPOLLIN);
   return fed;
 }
 
-// The first bytes of a later request end the connection's idle time. A connection without a complete request
-// may be shed; progress restarts its grace, so that a stalled client is shed before a slow one.
-void DownstreamConnections::request_progressed(Connection& c) {
-  if (!c.has_sent_request) return offer_to_shed(c, ShedClass::partial_request);
-  if (c.request->started()) return;
-  keep_from_shedding(c);
-  set_deadline(c, request_timeout_ms);
+// Called before received bytes are parsed. On a connection that has not sent a complete request yet, progress
+// restarts the grace, so that a stalled client is shed before a slow one. On another connection the first
+// bytes of the next request end its idle time and start the request timeout.
+void DownstreamConnections::request_progressed(Connection& connection) {
+  if (!connection.has_sent_request) return mark_sheddable(connection, ShedClass::partial_request);
+  if (connection.request->started()) return;
+  unmark_sheddable(connection);
+  set_deadline(connection, request_timeout_ms);
 }
 
-// Sends the interim response that the client waits for before its body. False: the connection broke.
-bool DownstreamConnections::continue_if_expected(Connection& c) {
-  if (!c.request || !c.request->head_complete() || c.continue_sent) return true;
-  if (!protocol::contains_token(c.request->find("Expect"), "100-continue")) return true;
-  c.continue_sent = true;
-  return c.stream.out().append("HTTP/1.1 100 Continue\r\n\r\n") && c.stream.flush();
+// Sends 100 Continue if the client waits for it before it sends its body. False: the connection broke.
+bool DownstreamConnections::continue_if_expected(Connection& connection) {
+  if (!connection.request || !connection.request->head_complete() || connection.continue_sent) return true;
+  if (!protocol::contains_token(connection.request->find("Expect"), "100-continue")) return true;
+  connection.continue_sent = true;
+  return connection.stream.out().append("HTTP/1.1 100 Continue\r\n\r\n") && connection.stream.flush();
 }
 
-// Receives more bytes. False: there are none, or the connection has ended, which drops an incomplete request.
-bool DownstreamConnections::receive(Connection& c) {
-  auto got = c.stream.fill();
+// Receives more bytes. False: none have arrived, or the connection has ended and is closed, which drops an
+// incomplete request.
+bool DownstreamConnections::receive(Connection& connection) {
+  auto got = connection.stream.fill();
   if (got == Stream::Got::bytes) return true;
-  if (got != Stream::Got::nothing) close(c);
+  if (got != Stream::Got::nothing) close(connection);
   return false;
 }
 
-// Parses the received bytes, and extends the body's deadline by them. False: the pool has no buffer now.
-bool DownstreamConnections::feed(Connection& c) {
-  auto n = c.request->feed(c.stream.bytes());
-  c.stream.consume(n);
-  if (c.request->out_of_buffers()) return false;
-  if (!c.request->head_complete() || c.body_due_base_ms == 0) return true;
-  c.body_bytes += n;
-  set_deadline(c, c.body_due_base_ms + static_cast<double>(c.body_bytes) / min_body_bytes_per_ms - now_ms_);
+// Parses the received bytes and extends the body's deadline accordingly. False: the pool has no free buffer.
+bool DownstreamConnections::feed(Connection& connection) {
+  auto parsed_bytes = connection.request->feed(connection.stream.bytes());
+  connection.stream.consume(parsed_bytes);
+  if (connection.request->out_of_buffers()) return false;
+  if (!connection.request->head_complete() || connection.body_due_base_ms == 0) return true;
+  connection.body_bytes += parsed_bytes;
+  set_deadline(connection, connection.body_due_base_ms +
+                               static_cast<double>(connection.body_bytes) / min_body_bytes_per_ms - now_ms_);
   return true;
 }
 
 // Reads more of a body whose request is in flight.
-void DownstreamConnections::read_request_body(Connection& c) {
+void DownstreamConnections::read_request_body(Connection& connection) {
   for (int i = 0; i < reads_per_turn; ++i) {
-    while (!c.stream.bytes().empty())
-      if (!parse_request_body(c)) return;
-    if (!receive(c)) return;
+    while (!connection.stream.bytes().empty())
+      if (!parse_request_body(connection)) return;
+    if (!receive(connection)) return;
   }
-  c.stream.again(EPOLLIN);
+  connection.stream.again(EPOLLIN);
 }
 
-// Parses the received part of a body. False: the body is complete or refused, or no buffer is free.
-bool DownstreamConnections::parse_request_body(Connection& c) {
-  if (c.request->buffer_full()) {  // pauses; the wait is not the client's fault
-    c.paused_at_ms = now_ms_;
-    set_deadline(c, send_stall_ms);
+// Parses the received part of a body. False: the body is complete or malformed, or no buffer is free.
+bool DownstreamConnections::parse_request_body(Connection& connection) {
+  if (connection.request->buffer_full()) {
+    // Pauses reading. The client does not cause the wait, so request_body_forwarded() extends the deadline.
+    connection.paused_at_ms = now_ms_;
+    set_deadline(connection, send_stall_ms);
     return false;
   }
-  bool fed = feed(c);
-  if (c.request->fault() != Fault::none) {
-    report_gone(c);
-    respond_and_close(c, static_cast<int>(c.request->fault()));
+  bool fed = feed(connection);
+  if (connection.request->fault() != Fault::none) {
+    report_client_gone(connection);
+    respond_and_close(connection, static_cast<int>(connection.request->fault()));
     return false;
   }
-  if (!std::exchange(c.body_event_pending, true))
-    events_.push_back({.kind = DownstreamEvent::body_received, .client = c.id});
-  if (c.request->complete()) {
-    request_body_complete(c);
+  if (!std::exchange(connection.body_event_pending, true))
+    events_.push_back({.kind = DownstreamEvent::body_received, .client = connection.id});
+  if (connection.request->complete()) {
+    request_body_complete(connection);
     return false;
   }
-  if (!fed) c.stream.again(EPOLLIN);
+  if (!fed) connection.stream.again(EPOLLIN);
   return fed;
 }
 
-void DownstreamConnections::request_body_complete(Connection& c) {
-  c.body_incoming = false;
-  c.request.reset();
-  if (c.accounting == Connection::Accounting::awaiting_body) count_in_flight(c);
-  if (c.peer_closed) report_gone(c);
-  clear_deadline(c);
+void DownstreamConnections::request_body_complete(Connection& connection) {
+  connection.body_incoming = false;
+  connection.request.reset();
+  if (connection.accounting == Connection::Accounting::awaiting_body) count_in_flight(connection);
+  if (connection.peer_closed) report_client_gone(connection);
+  clear_deadline(connection);
 }
 
 void DownstreamConnections::request_body_forwarded(ClientId id) {
   auto it = connections_.find(id);
   if (it == connections_.end()) return;
-  auto& c = *it->second;
-  c.body_event_pending = false;
-  if (c.state != Connection::State::in_flight || !c.body_incoming) return;
-  if (c.paused_at_ms > 0) c.body_due_base_ms += now_ms_ - std::exchange(c.paused_at_ms, 0);
-  read_request_body(c);
+  auto& connection = *it->second;
+  connection.body_event_pending = false;
+  if (connection.state != Connection::State::in_flight || !connection.body_incoming) return;
+  if (connection.paused_at_ms > 0)
+    connection.body_due_base_ms += now_ms_ - std::exchange(connection.paused_at_ms, 0);
+  read_request_body(connection);
 }
 
-void DownstreamConnections::count_in_flight(Connection& c) {
-  c.accounting = Connection::Accounting::in_flight;
+void DownstreamConnections::count_in_flight(Connection& connection) {
+  connection.accounting = Connection::Accounting::in_flight;
   ++counters_.in_flight;
 }
 
-void DownstreamConnections::request_received(Connection& c) {
-  c.state = Connection::State::in_flight;
-  c.keep_alive = c.request->keep_alive();
-  c.http_1_0 = c.request->is_http_1_0();
-  c.body_incoming = !c.request->complete();
-  c.body_event_pending = false;
-  c.head_only = c.request->method() == "HEAD";
-  c.continue_sent = false;
-  c.has_sent_request = true;
-  keep_from_shedding(c);
-  if (!c.body_incoming) clear_deadline(c);
-  c.request_class = -1;
-  if (c.body_incoming)
-    c.accounting = Connection::Accounting::awaiting_body;
+void DownstreamConnections::request_received(Connection& connection) {
+  connection.state = Connection::State::in_flight;
+  connection.keep_alive = connection.request->keep_alive();
+  connection.http_1_0 = connection.request->is_http_1_0();
+  connection.body_incoming = !connection.request->complete();
+  connection.body_event_pending = false;
+  connection.head_only = connection.request->method() == "HEAD";
+  connection.continue_sent = false;
+  connection.has_sent_request = true;
+  unmark_sheddable(connection);
+  if (!connection.body_incoming) clear_deadline(connection);
+  connection.request_class = -1;
+  if (connection.body_incoming)
+    connection.accounting = Connection::Accounting::awaiting_body;
   else
-    count_in_flight(c);
-  events_.push_back({.client = c.id, .message = c.request});
-  if (c.body_incoming) return;
-  c.request.reset();
-  // epoll may have reported the client's close earlier: during the former response, or before all was read.
-  if (c.peer_closed) report_gone(c);
+    count_in_flight(connection);
+  events_.push_back({.client = connection.id, .message = connection.request});
+  if (connection.body_incoming) return;
+  connection.request.reset();
+  // epoll may have reported the client's close before: during the previous response, or before all input was
+  // read. It does not report the close again.
+  if (connection.peer_closed) report_client_gone(connection);
 }
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/endpoint/directory.cpp
+++ b/src/proxy/endpoint/directory.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr std::uint32_t server_id_mask = 0xffffff;
+constexpr std::uint32_t server_id_mask = 0xffffff;  // server ids have 24 bits
 
-// The index of `name`; -1 if absent.
-int position_in(const std::vector<std::string>& names, std::string_view name) {
+// The index of `name` in `names`; -1 if absent.
+int find_index(const std::vector<std::string>& names, std::string_view name) {
   auto it = std::find(names.begin(), names.end(), name);
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
@@ -77,7 +77,7 @@
   bool left = listed.health == EndpointListEntry::Health::left;
   EndpointIndex endpoint = left ? upstreams_.endpoints().find(listed.name) : upstreams_.index_of(listed.name);
   if (endpoint == no_endpoint) return;
-  if (has_departed(listed, endpoint)) return depart(endpoint);
+  if (has_departed(listed, endpoint)) return remove_endpoint(endpoint);
   auto index = position_of(endpoint);
   if (index >= seen.size()) seen.resize(index + 1);
   seen[index] = true;
@@ -87,9 +87,9 @@
   upstreams_.update_address(endpoint, listed.dial, listed.started_ms, active);
   set_server_id(endpoint, listed.name);
   entries_.push_back({.endpoint = endpoint,
-                      .zone = position_in(settings_.zones, listed.zone),
-                      .server_kind = position_in(settings_.server_kinds, listed.kind),
-                      // A server without a block gets one of its own.
+                      .zone = find_index(settings_.zones, listed.zone),
+                      .server_kind = find_index(settings_.server_kinds, listed.kind),
+                      // A server without a block is a cell of its own, with a negative number.
                       .cell = listed.block >= 0 ? listed.block : -1 - static_cast<int>(endpoint),
                       .state = active ? EndpointState::ready : EndpointState::draining,
                       .weight = listed.weight,
@@ -98,18 +98,19 @@
                       .id = server_id(endpoint)});
 }
 
-// One process serves an address, so a later start under a new name replaces the server of the old name, even
-// before a list removes it. Requests to the old name would reach the new process before its slow start.
+// Only one process serves an address, so a server with a later start replaces the server listed there under
+// an older name, even before a list removes that name. Otherwise requests to the older name would reach the
+// new process before its slow start.
 bool EndpointDirectory::has_departed(const EndpointListEntry& listed, EndpointIndex endpoint) {
   if (listed.health == EndpointListEntry::Health::left) return true;
   EndpointIndex other = upstreams_.endpoints().endpoint_at(listed.dial);
   if (other == no_endpoint || other == endpoint) return false;
   double other_started_ms = upstreams_.endpoints().started_at_ms(other);
-  if (other_started_ms < listed.started_ms) depart(other);
+  if (other_started_ms < listed.started_ms) remove_endpoint(other);
   return other_started_ms > listed.started_ms;
 }
 
-void EndpointDirectory::depart(EndpointIndex endpoint) {
+void EndpointDirectory::remove_endpoint(EndpointIndex endpoint) {
   upstreams_.remove(endpoint);
   entries_.push_back({.endpoint = endpoint, .state = EndpointState::gone});
 }
--- a/src/proxy/endpoint/manual_drains.cpp
+++ b/src/proxy/endpoint/manual_drains.cpp
@@ -2,7 +2,7 @@
 
 namespace meadowgauge::proxy {
 
-void ManualDrains::remember(const std::string& name, const Process& process) {
+void ManualDrains::record_process(const std::string& name, const Process& process) {
   std::erase_if(by_address_, [&](const auto& entry) { return entry.second.name == name; });
   by_address_[process.address] = {.name = name, .started_ms = process.started_ms};
 }
@@ -11,10 +11,11 @@
   if (names_.empty()) return false;
   if (names_.contains(listed.name)) {
     if (!listed.dial.empty())
-      remember(listed.name, {.address = listed.dial, .started_ms = listed.started_ms});
+      record_process(listed.name, {.address = listed.dial, .started_ms = listed.started_ms});
     return true;
   }
-  if (listed.dial.empty()) return aliases_.contains(listed.name);  // the entry keeps the known address
+  if (listed.dial.empty())
+    return aliases_.contains(listed.name);  // the address is unchanged, so a known alias holds
   auto it = by_address_.find(listed.dial);
   if (it == by_address_.end() || it->second.started_ms != listed.started_ms) {
     aliases_.erase(listed.name);
@@ -32,9 +33,9 @@
     if (!names.contains(name) && !names.contains(alias)) changes.push_back({.name = alias, .drained = false});
   for (const auto& name : names)
     if (!names_.contains(name)) changes.push_back({.name = name, .drained = true});
-  auto restored = [&](const std::string& name) { return !names.contains(name); };
-  std::erase_if(aliases_, [&](const auto& alias) { return restored(alias.second); });
-  std::erase_if(by_address_, [&](const auto& entry) { return restored(entry.second.name); });
+  auto is_undrained = [&](const std::string& name) { return !names.contains(name); };
+  std::erase_if(aliases_, [&](const auto& alias) { return is_undrained(alias.second); });
+  std::erase_if(by_address_, [&](const auto& entry) { return is_undrained(entry.second.name); });
   names_ = names;
   return changes;
 }
--- a/src/proxy/endpoint/registry.cpp
+++ b/src/proxy/endpoint/registry.cpp
@@ -14,38 +14,40 @@
 
 namespace {
 
-// Longer than any delay of a list: lists of lower versions alone for this time belong to a new count.
+// Longer than any delay of a list: if only lists with lower versions arrive for this time, discovery has
+// restarted its versions.
 constexpr double versions_restarted_after_ms = 20000;
-// Departed servers are remembered so that a late list does not bring them back, up to this number.
+// Limit of recorded servers. Departed servers stay recorded so that a late list does not add them again.
 constexpr std::size_t max_servers = 20000;
 
 }  // namespace
 
 // --- Rules -----------------------------------------------------------------------------------------------
 
-// A server of one start only goes from active to leaving to left. The first list of a new discovery can't be
-// ordered by version, so a known drain outweighs it.
+// Whether a recorded drain outweighs a listed active state. Within one start a server only goes from active
+// to leaving to left. The first list of a new discovery can't be ordered by version, so the later of the two
+// states is taken.
 bool EndpointRegistry::keeps_draining(const ServerState& known, const EndpointListEntry& listed) const {
   return first_list_pending_ && listed.health == Health::active && known.health == Health::leaving &&
          known.started_ms >= listed.started_ms;
 }
 
-// A drain is the later state of one start, also in a list of a lower version: the versions may have
-// restarted.
+// Whether a late list drains an active server. Within one start the drain is the later state even if its
+// version is lower: the versions may have restarted.
 bool EndpointRegistry::is_new_drain(const ServerState& known, const EndpointListEntry& listed) const {
-  bool present = known.health == Health::active && known.version >= newest_full_version_;
-  return present && listed.health == Health::leaving && listed.started_ms >= known.started_ms;
+  bool is_active = known.health == Health::active && known.version >= newest_full_version_;
+  return is_active && listed.health == Health::leaving && listed.started_ms >= known.started_ms;
 }
 
-// An entry of a late list counts if its version is above that of the server's recorded state. An unknown
-// server must be above the newest full list, which did not name it.
+// Whether an entry of a late list is newer than the recorded state. An unknown server must be newer than the
+// newest full list, which did not name the server.
 bool EndpointRegistry::supersedes(const EndpointListEntry& listed, std::int64_t version) const {
   auto it = servers_.find(listed.name);
   if (it == servers_.end()) return newest_full_version_ < version;
   return effective_version(it->second) < version || is_new_drain(it->second, listed);
 }
 
-// A late full list says that every server of an older state which it does not name has left.
+// The servers that a late full list removes: those that it does not name and whose recorded state is older.
 EndpointList EndpointRegistry::implied_departures(const EndpointList& late_list) const {
   EndpointList departures{.seq = late_list.seq, .full = false, .hosts = {}, .skipped = {}};
   if (!late_list.full) return departures;
@@ -57,13 +59,14 @@
   return departures;
 }
 
-// A single delayed list is followed by a newer one well before this. Without a full list among the late ones
-// the new count's endpoints are not known completely.
+// Whether discovery has restarted its versions. A merely delayed list is followed by a newer one long before
+// `versions_restarted_after_ms`. Without a full list among the late lists the endpoints are not known
+// completely.
 bool EndpointRegistry::versions_restarted(double now_ms) const {
   return late_entries_ && now_ms - *late_since_ms_ >= versions_restarted_after_ms;
 }
 
-// A full list states every server, named or not.
+// A full list states the state of every server, also of those that it does not name.
 std::int64_t EndpointRegistry::effective_version(const ServerState& known) const {
   return std::max(known.version, newest_full_version_);
 }
@@ -75,7 +78,7 @@
     record_all(list);
     return list;
   }
-  collect_late(list, now_ms);
+  collect_late_entries(list, now_ms);
   if (versions_restarted(now_ms)) return adopt_late_lists(list.seq);
   return merge_late(std::move(list));
 }
@@ -107,7 +110,7 @@
   evict_departed();
 }
 
-void EndpointRegistry::collect_late(const EndpointList& list, double now_ms) {
+void EndpointRegistry::collect_late_entries(const EndpointList& list, double now_ms) {
   if (!late_since_ms_) late_since_ms_ = now_ms;
   if (list.full) late_entries_.emplace();
   if (!late_entries_) return;
@@ -134,7 +137,7 @@
   late_entries_ = {};
 }
 
-// Evicts the oldest departed servers first, down to half of the bound.
+// Evicts the oldest departed servers first, until half of `max_servers` are left.
 void EndpointRegistry::evict_departed() {
   if (servers_.size() <= max_servers) return;
   std::vector<std::pair<std::int64_t, std::string>> departed;
--- a/src/proxy/endpoint/registry.hpp
+++ b/src/proxy/endpoint/registry.hpp
@@ -1,4 +1,4 @@
-// The newest state received of each listed server. Endpoint lists may arrive late, out of order, or from a
+// Records the newest state of each listed server. Endpoint lists may arrive late, out of order, or from a
 // discovery that has restarted its versions. Does no I/O; times are passed in, in ms.
 #pragma once
 
@@ -12,14 +12,15 @@
 
 namespace meadowgauge::proxy {
 
+// Merges endpoint lists by version. A late list is one with a version below the newest received.
 class EndpointRegistry {
  public:
-  // Records a list and returns the changes to apply. A list at or above the newest version is returned as it
-  // is. Of an older list only the entries that supersede the recorded state are returned. Once the versions
-  // have restarted, the older lists received since then are returned merged, as a full list.
+  // Records a list and returns the changes to apply: a list at or above the newest version as it is; of a
+  // late list only the entries that supersede the recorded state; once the versions count as restarted, the
+  // late lists received since then, merged into a full list.
   protocol::EndpointList merge(protocol::EndpointList list, double now_ms);
-  // Discovery has changed, and its versions are independent of the previous ones. Recorded drains hold until
-  // a later list of the new discovery revokes them.
+  // The versions of later lists are independent of the previous ones, because discovery has changed. Recorded
+  // drains hold in the first list of the new discovery; its later lists can end them.
   void restart_versions();
 
   // The newest version received; INT64_MIN before any.
@@ -34,7 +35,7 @@
     protocol::EndpointListEntry::Health health = protocol::EndpointListEntry::Health::active;
   };
 
-  // Rules for late, partial and restarted lists; their reasons stand at the definitions.
+  // Rules for late lists, deltas and restarted versions; the reasons are given at the definitions.
   [[nodiscard]] bool keeps_draining(const ServerState& known,
                                     const protocol::EndpointListEntry& listed) const;
   [[nodiscard]] bool is_new_drain(const ServerState& known, const protocol::EndpointListEntry& listed) const;
@@ -42,11 +43,12 @@
   [[nodiscard]] protocol::EndpointList implied_departures(const protocol::EndpointList& late_list) const;
   [[nodiscard]] bool versions_restarted(double now_ms) const;
 
+  // The version up to which the server's state is known.
   [[nodiscard]] std::int64_t effective_version(const ServerState& known) const;
   protocol::EndpointList merge_late(protocol::EndpointList&& list);
   void record(protocol::EndpointListEntry& listed, std::int64_t version);
   void record_all(protocol::EndpointList& list);
-  void collect_late(const protocol::EndpointList& list, double now_ms);
+  void collect_late_entries(const protocol::EndpointList& list, double now_ms);
   protocol::EndpointList adopt_late_lists(std::int64_t version);
   void evict_departed();
 
@@ -55,10 +57,12 @@
   std::unordered_map<std::string, ServerState> servers_;
   std::int64_t newest_version_ = no_version;
   std::int64_t newest_full_version_ = no_version;
-  bool first_list_pending_ = false;  // of a new discovery
-  // Lists below the newest version, received since the last one at or above it.
+  bool first_list_pending_ = false;  // no list of a new discovery has been received yet
+  // Late lists received since the last list at or above the newest version: the time of the first one, and
+  // the merged entries.
   std::optional<double> late_since_ms_;
-  std::optional<std::map<std::string, protocol::EndpointListEntry>> late_entries_;  // set from a full list on
+  std::optional<std::map<std::string, protocol::EndpointListEntry>>
+      late_entries_;  // absent until a full list
 };
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/endpoint/slots.cpp
+++ b/src/proxy/endpoint/slots.cpp
@@ -9,7 +9,8 @@
   return it == by_name_.end() ? no_endpoint : it->second;
 }
 
-// Reuses spare indices first: otherwise the tables by index would grow with every new server name.
+// Reuses spare indices first: otherwise the vectors indexed by endpoint would grow with every new server
+// name.
 EndpointIndex EndpointSlots::add(const std::string& name) {
   auto endpoint = static_cast<EndpointIndex>(slots_.size());
   if (spare_.empty()) {
@@ -33,9 +34,9 @@
                            bool active) {
   auto& endpoint_slot = slot(endpoint);
   auto dial_address = address.empty() ? endpoint_slot.dial_address : transport::Address::parse(address);
-  bool other_process =
+  bool process_changed =
       dial_address != endpoint_slot.dial_address || started_at_ms != endpoint_slot.started_at_ms;
-  if (other_process) ++endpoint_slot.generation;
+  if (process_changed) ++endpoint_slot.generation;
   endpoint_slot.dial_address = dial_address;
   endpoint_slot.started_at_ms = started_at_ms;
   endpoint_slot.active = active;
@@ -45,7 +46,7 @@
     endpoint_slot.address = address;
     by_address_[address] = endpoint;
   }
-  return other_process;
+  return process_changed;
 }
 
 void EndpointSlots::set_manual_drain(EndpointIndex endpoint, bool drained) {
@@ -63,7 +64,7 @@
   return true;
 }
 
-// Keeps the address if another server is listed there.
+// No effect if another server is listed at the address by now.
 void EndpointSlots::release_address(EndpointIndex endpoint) {
   if (endpoint_at(slot(endpoint).address) == endpoint) by_address_.erase(slot(endpoint).address);
 }
@@ -71,7 +72,7 @@
 void EndpointSlots::reclaim(const std::function<bool(EndpointIndex endpoint)>& in_use) {
   std::erase_if(removed_, [&](EndpointIndex endpoint) {
     const auto& endpoint_slot = slot(endpoint);
-    if (endpoint_slot.listed) return true;  // listed again since
+    if (endpoint_slot.listed) return true;  // listed again after its removal
     if (in_use(endpoint)) return false;
     by_name_.erase(endpoint_slot.name);
     spare_.push_back(endpoint);
@@ -92,10 +93,10 @@
 std::optional<SlotInvariant> EndpointSlots::broken_invariant() const {
   if (by_name_.size() + spare_.size() != slots_.size()) return SlotInvariant::index_is_assigned_or_spare;
   for (const auto& [name, endpoint] : by_name_)
-    if (slot(endpoint).name != name) return SlotInvariant::name_leads_to_its_slot;
+    if (slot(endpoint).name != name) return SlotInvariant::name_maps_to_its_slot;
   for (const auto& [address, endpoint] : by_address_) {
     if (!slot(endpoint).listed) return SlotInvariant::address_is_of_a_listed_server;
-    if (slot(endpoint).address != address) return SlotInvariant::address_leads_to_its_slot;
+    if (slot(endpoint).address != address) return SlotInvariant::address_maps_to_its_slot;
   }
   for (auto endpoint : spare_)
     if (slot(endpoint).listed) return SlotInvariant::spare_index_is_unlisted;
@@ -106,12 +107,12 @@
   switch (invariant) {
     case SlotInvariant::index_is_assigned_or_spare:
       return "each endpoint index is either assigned or spare";
-    case SlotInvariant::name_leads_to_its_slot:
-      return "each server name leads to the slot of that name";
+    case SlotInvariant::name_maps_to_its_slot:
+      return "each server name maps to the slot of that name";
     case SlotInvariant::address_is_of_a_listed_server:
       return "each known address is that of a listed server";
-    case SlotInvariant::address_leads_to_its_slot:
-      return "each known address leads to the slot of that address";
+    case SlotInvariant::address_maps_to_its_slot:
+      return "each known address maps to the slot of that address";
     case SlotInvariant::spare_index_is_unlisted:
       return "no spare index is listed";
   }
--- a/src/proxy/endpoint/slots.hpp
+++ b/src/proxy/endpoint/slots.hpp
@@ -1,5 +1,5 @@
-// Assigns small indices to servers and keeps each one's address, incarnation start and availability for new
-// attempts. Does no I/O and reads no clock. All times are in ms.
+// Assigns small indices to servers, and keeps the address, the start of the incarnation and the availability
+// for new attempts of each server. Does no I/O and reads no clock. All times are in ms.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +15,12 @@
 
 namespace meadowgauge::proxy {
 
+// Invariants of EndpointSlots, checked by tests.
 enum class SlotInvariant : std::uint8_t {
   index_is_assigned_or_spare,
-  name_leads_to_its_slot,
+  name_maps_to_its_slot,
   address_is_of_a_listed_server,
-  address_leads_to_its_slot,
+  address_maps_to_its_slot,
   spare_index_is_unlisted,
 };
 std::string_view text_of(SlotInvariant invariant);
@@ -30,42 +31,43 @@
  public:
   // The server's index, or `no_endpoint`.
   [[nodiscard]] EndpointIndex find(const std::string& name) const;
-  // Assigns an index, a reclaimed one if there is any. The server must not have one yet.
+  // Assigns an index, if possible a reclaimed one. The server must not have an index yet.
   EndpointIndex add(const std::string& name);
-  // The server listed at that address, or `no_endpoint`.
+  // The server listed at `address`, or `no_endpoint`.
   [[nodiscard]] EndpointIndex endpoint_at(const std::string& address) const;
 
-  // Records a listed server. An empty `address` keeps the known one; a malformed one empties dial_address().
+  // Records a listed server. An empty `address` keeps the known address; a malformed `address` clears
+  // dial_address().
   // `active`: new attempts are allowed. Returns true if the address or the incarnation has changed.
   bool update(EndpointIndex endpoint, const std::string& address, double started_at_ms, bool active);
   // Stops new attempts, or allows them again. The end of a drain starts a new generation, because the process
-  // may have restarted meanwhile.
+  // may have restarted during the drain.
   void set_manual_drain(EndpointIndex endpoint, bool drained);
-  // The server is no longer listed. Returns false if it was not.
+  // Marks the server as no longer listed. Returns false if it was not listed.
   bool remove(EndpointIndex endpoint);
   // Frees the indices of removed servers that are not `in_use`.
   void reclaim(const std::function<bool(EndpointIndex endpoint)>& in_use);
 
-  // Number of indices, with the spare ones.
+  // Number of indices, including spare indices.
   [[nodiscard]] std::size_t size() const { return slots_.size(); }
   [[nodiscard]] std::size_t listed_count() const;
   [[nodiscard]] bool is_listed(EndpointIndex endpoint) const { return slot(endpoint).listed; }
   [[nodiscard]] const std::string& name(EndpointIndex endpoint) const { return slot(endpoint).name; }
-  // The listed address.
+  // The address as listed.
   [[nodiscard]] const std::string& address(EndpointIndex endpoint) const { return slot(endpoint).address; }
   // The parsed address; absent if the listed one is malformed.
   [[nodiscard]] const std::optional<transport::Address>& dial_address(EndpointIndex endpoint) const {
     return slot(endpoint).dial_address;
   }
-  // The start of its incarnation, as listed.
+  // The start of the server's incarnation, as listed.
   [[nodiscard]] double started_at_ms(EndpointIndex endpoint) const { return slot(endpoint).started_at_ms; }
-  // Counts the server's processes and addresses. A connection of an earlier generation leads to a process
-  // that has stopped or is stopping.
+  // Incremented when the server's process or address changes. A connection of an earlier generation leads to
+  // a process that has stopped or is stopping.
   [[nodiscard]] int generation(EndpointIndex endpoint) const { return slot(endpoint).generation; }
-  // Listed, active and not drained by an operator.
+  // Whether the server is listed, active and not drained by an operator.
   [[nodiscard]] bool accepts_attempts(EndpointIndex endpoint) const;
 
-  // A broken invariant, or none. For tests.
+  // The first broken invariant, if any. For tests.
   [[nodiscard]] std::optional<SlotInvariant> broken_invariant() const;
 
  private:
@@ -81,13 +83,14 @@
   };
   [[nodiscard]] Slot& slot(EndpointIndex endpoint) { return slots_[position_of(endpoint)]; }
   [[nodiscard]] const Slot& slot(EndpointIndex endpoint) const { return slots_[position_of(endpoint)]; }
+  // Removes the server from the index of addresses.
   void release_address(EndpointIndex endpoint);
 
   std::vector<Slot> slots_;
   std::unordered_map<std::string, EndpointIndex> by_name_;
   std::unordered_map<std::string, EndpointIndex> by_address_;  // of listed servers
-  std::vector<EndpointIndex> removed_;                         // to be reclaimed
-  std::vector<EndpointIndex> spare_;                           // reclaimed
+  std::vector<EndpointIndex> removed_;                         // no longer listed, to be reclaimed
+  std::vector<EndpointIndex> spare_;                           // reclaimed, to be assigned again
 };
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/metrics.hpp
+++ b/src/proxy/metrics.hpp
@@ -1,4 +1,4 @@
-// Counters of a balancer since its start, and its requests in flight.
+// The metrics of a balancer: counters since its start, and the number of requests in flight.
 #pragma once
 
 #include <array>
@@ -18,14 +18,15 @@
   std::uint64_t success = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failure = 0;
-  std::array<std::uint64_t, reason_count> reasons{};  // of responses that the policy rejected or failed
+  std::array<std::uint64_t, reason_count> reasons{};  // of the requests that the policy rejected or failed
 
   void count(int status) {
     ++(status == 200 ? success : status == 429 || status == 503 ? rejected : failure);
   }
 };
 
-// Counts a final response when its last byte is written, or when its client has disconnected.
+// Counters of requests. A final response is counted when its last byte is written, or when its client has
+// disconnected.
 struct RequestCounters {
   OutcomeCounters all;
   std::vector<OutcomeCounters> request_classes;
@@ -41,15 +42,15 @@
 // The values that the admin server shows.
 struct Metrics {
   RequestCounters calls;
-  std::vector<std::string> request_classes;  // names
-  std::uint64_t attempts = 0;                // with the request written completely
-  std::size_t listed = 0;                    // endpoints
-  std::size_t down = 0;                      // endpoints
+  std::vector<std::string> request_classes;  // their names, by index
+  std::uint64_t attempts = 0;                // whose request was sent to its last byte
+  std::size_t listed = 0;                    // listed endpoints
+  std::size_t down = 0;                      // endpoints that the policy holds unavailable
   DiscoveryCallCounters discovery;
   std::uint64_t reloads = 0;
   std::uint64_t reloads_failed = 0;
-  transport::TurnTimes longest_turn;  // of the event loop; the two times may be of different turns
-  std::vector<std::pair<std::string, double>> fleet{};  // empty without a fleet
+  transport::TurnTimes longest_turn;  // of the event loop; its maxima may come from different turns
+  std::vector<std::pair<std::string, double>> fleet{};  // name and value; empty without a fleet
 };
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/policy_event_log.hpp
+++ b/src/proxy/policy_event_log.hpp
@@ -1,4 +1,4 @@
-// The log lines of the policy's events.
+// Formats and logs the policy's events.
 #pragma once
 
 #include <string>
@@ -10,13 +10,13 @@
 
 namespace meadowgauge::proxy {
 
-// The endpoint that the event is about; `no_endpoint`: it is about none.
+// The endpoint that the event is about; `no_endpoint` if the event is not about an endpoint.
 EndpointIndex endpoint_of(const PolicyEvent& event);
 
-// The event's line. `endpoint_name` names the event's endpoint, if it is about one.
+// The event's log message. `endpoint_name`: the name of endpoint_of(event), otherwise unused.
 std::string message_of(const PolicyEvent& event, std::string_view endpoint_name);
 
-// Logs the event at level info, with its values as fields.
+// Logs the event at level info, with its values as log fields.
 void log_policy_event(const Logger& log, const PolicyEvent& event, const EndpointSlots& endpoints);
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/proxy_settings.cpp
+++ b/src/proxy/proxy_settings.cpp
@@ -42,7 +42,7 @@
 
 namespace {
 
-// The names of a numbered list of settings.
+// The names in the numbered list of settings "LIST.0.name", "LIST.1.name" and so on.
 std::vector<std::string> names_of(const Settings& settings, const std::string& list) {
   std::vector<std::string> names;
   for (int i = 0; i < static_cast<int>(number(settings, list + ".count", 0)); ++i)
--- a/src/proxy/request/admission.cpp
+++ b/src/proxy/request/admission.cpp
@@ -20,11 +20,12 @@
 
 constexpr std::uint32_t max_stated_budget_ms = 3600000;
 constexpr double max_budget_ms = 1e7;
-// Most restarted processes have their first list after this time.
+// Most restarted processes have received their first endpoint list after this time.
 constexpr double endpoints_unknown_retry_after_ms = 1000;
 
-// A request with an unreadable budget is refused; the class's default is for requests that state none.
-bool budget_readable(const Message& message) {
+// An absent budget is valid and takes the class's default. A present but unreadable budget is not: the
+// request is refused.
+bool has_valid_budget(const Message& message) {
   if (message.count(names::time_budget) == 0) return true;
   auto text = message.find(names::time_budget);
   std::uint32_t ms = 0;
@@ -32,13 +33,14 @@
   return error == std::errc{} && end == text.data() + text.size() && ms <= max_stated_budget_ms;
 }
 
-bool control_header_repeated(const Message& message) {
+bool has_repeated_control_header(const Message& message) {
   constexpr std::array control_headers = {names::request_id,   names::tenant,          names::time_budget,
                                           names::client_retry, names::idempotency_key, names::request_hints};
   return std::ranges::any_of(control_headers, [&](auto name) { return message.count(name) > 1; });
 }
 
-// A `Connection` header that lists the id or the key makes the next hop drop it.
+// True if a `Connection` header lists the request id or the idempotency key: that header would not be
+// forwarded.
 bool control_header_not_forwarded(const Message& message) {
   return std::ranges::any_of(message.fields(), [&](const protocol::Field& field) {
     bool must_pass = equals_ignoring_case(field.name, names::request_id) ||
@@ -51,14 +53,15 @@
   auto text = message.find(names::time_budget);
   double stated = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), stated);
-  bool readable = error == std::errc{} && end == text.data() + text.size() && std::isfinite(stated);
-  return std::clamp(readable ? stated : rules.client_timeout_ms, 0.0, max_budget_ms);
+  bool is_readable = error == std::errc{} && end == text.data() + text.size() && std::isfinite(stated);
+  return std::clamp(is_readable ? stated : rules.client_timeout_ms, 0.0, max_budget_ms);
 }
 
-// Refuses every ambiguous message: proxy and endpoint might read it as two different requests.
-std::optional<RefusalReason> malformed(const Message& message, const RequestClassRules& rules,
-                                       const std::unordered_set<std::string_view>& unanswered_ids) {
-  if (control_header_repeated(message)) return RefusalReason::repeated_control_header;
+// Returns why the message violates the rules of its class, if it does. An ambiguous message is refused
+// because the proxy and an endpoint might read it as two different requests.
+std::optional<RefusalReason> validate(const Message& message, const RequestClassRules& rules,
+                                      const std::unordered_set<std::string_view>& unanswered_ids) {
+  if (has_repeated_control_header(message)) return RefusalReason::repeated_control_header;
   if (control_header_not_forwarded(message)) return RefusalReason::control_header_not_forwarded;
   auto id = message.find(names::request_id);
   if (id.empty()) return RefusalReason::missing_id;
@@ -66,11 +69,11 @@
   bool idempotent = rules.repeat == RepeatRule::idempotent;
   if (message.method() != (idempotent ? "GET" : "POST")) return RefusalReason::wrong_method;
   if (idempotent && (message.body_size() > 0 || !message.complete())) return RefusalReason::unexpected_body;
-  bool key_missing = message.find(names::idempotency_key).empty();
-  bool key_stated = message.count(names::idempotency_key) > 0;
-  if (rules.repeat == RepeatRule::deduplicated ? key_missing : key_stated)
+  bool is_key_missing = message.find(names::idempotency_key).empty();
+  bool has_key_header = message.count(names::idempotency_key) > 0;
+  if (rules.repeat == RepeatRule::deduplicated ? is_key_missing : has_key_header)
     return RefusalReason::idempotency_key_mismatch;
-  if (!budget_readable(message)) return RefusalReason::unreadable_budget;
+  if (!has_valid_budget(message)) return RefusalReason::unreadable_budget;
   return {};
 }
 
@@ -96,13 +99,13 @@
 
 bool Refusal::closes_connection() const { return status() != 429 && status() != 503; }
 
-int RequestAdmission::class_of(std::string_view path) const {
+int RequestAdmission::find_request_class(std::string_view path) const {
   auto name = protocol::first_segment(path);
   auto it = std::find_if(classes_.begin(), classes_.end(), [&](const auto& c) { return c.name == name; });
   return it == classes_.end() ? -1 : static_cast<int>(it - classes_.begin());
 }
 
-int RequestAdmission::tenant_of(const Message& message) const {
+int RequestAdmission::find_tenant(const Message& message) const {
   auto it = std::find(tenants_.begin(), tenants_.end(), message.find(names::tenant));
   return it == tenants_.end() ? -1 : static_cast<int>(it - tenants_.begin());
 }
@@ -110,29 +113,29 @@
 AdmissionResult RequestAdmission::admit(const Message& message, const AdmissionContext& context) const {
   auto path = protocol::path_of(message.target());
   if (path.starts_with(names::local_paths)) return LocalPathRequest{};
-  int request_class = class_of(path);
+  int request_class = find_request_class(path);
   auto refuse = [request_class](RefusalReason reason, double retry_after_ms = 0) {
     return Refusal{.reason = reason, .request_class = request_class, .retry_after_ms = retry_after_ms};
   };
-  // Without a class the rule for retries is unknown, so the request is not forwarded.
+  // Without a class it is unknown whether the request may be retried, so it is not forwarded.
   if (request_class < 0) return refuse(RefusalReason::unknown_request_class);
-  // An endpoint that resolves the path might run it under a class with another RepeatRule.
+  // An endpoint that normalizes the path might run the request as another class, with another RepeatRule.
   if (!protocol::resolves_under_first_segment(path)) return refuse(RefusalReason::ambiguous_path);
   const auto& rules = classes_[static_cast<std::size_t>(request_class)];
-  if (auto reason = malformed(message, rules, context.unanswered_ids)) return refuse(*reason);
-  // Checked before the policy is asked: there is no capacity to hold the request.
+  if (auto reason = validate(message, rules, context.unanswered_ids)) return refuse(*reason);
+  // Refused before the policy sees the request: there is no capacity to hold it.
   if (context.at_capacity) return refuse(RefusalReason::at_capacity);
   if (context.endpoints_unknown)
     return refuse(RefusalReason::endpoints_unknown, endpoints_unknown_retry_after_ms);
-  auto info = protocol::read_request_hints(message.find(names::request_hints));
+  auto hints = protocol::read_request_hints(message.find(names::request_hints));
   AdmittedRequest request{.request_class = request_class,
-                          .tenant = tenant_of(message),
+                          .tenant = find_tenant(message),
                           .budget_ms = budget_ms_of(message, rules),
                           .client_retry = message.find(names::client_retry) == "1",
-                          .work_ms = info.work_ms,
-                          .key = info.key,
+                          .work_ms = hints.work_ms,
+                          .key = hints.key,
                           .body_incoming = !message.complete()};
-  // The last check, because it consumes quota.
+  // Checked last, because it consumes quota.
   if (context.fleet_limits)
     if (double wait_ms = context.fleet_limits->try_acquire(request.tenant, request_class); wait_ms > 0)
       return refuse(RefusalReason::fleet_limit, wait_ms);
--- a/src/proxy/request/admission.hpp
+++ b/src/proxy/request/admission.hpp
@@ -1,5 +1,5 @@
-// The edge of the proxy: turns a parsed message into a typed request or a typed refusal before any other
-// module reads it. Pure: no I/O, no clock.
+// Admission: validates a parsed message and turns it into a typed request or a typed refusal before any other
+// module reads it. Does no I/O and reads no clock.
 #pragma once
 
 #include <cstddef>
@@ -20,31 +20,32 @@
 enum class RepeatRule : std::uint8_t {
   never,        // not idempotent: no retry once the request may have run
   idempotent,   // has no side effects
-  deduplicated  // carries an idempotency key, by which endpoints recognise a repetition
+  deduplicated  // carries an idempotency key, by which endpoints detect a repeated request
 };
 
-// The settings of one request class.
+// The settings of one request class; the first path segment of a request selects its class.
 struct RequestClassRules {
-  std::string name;  // first segment of the paths of the class
+  std::string name;  // first path segment of the class's requests
   RepeatRule repeat = RepeatRule::never;
-  double client_timeout_ms = 0;  // default time budget
-  bool streamed = false;         // responses may last longer than the budget
+  double client_timeout_ms = 0;  // time budget of requests that state none
+  bool streamed = false;         // responses may stream for longer than the budget
 };
 
-// A request that may be dispatched.
+// A request that passed all checks and may be dispatched.
 struct AdmittedRequest {
-  int request_class = 0;
-  int tenant = -1;       // -1: absent, or unknown to the settings
-  double budget_ms = 0;  // from the request's last byte to its final response
-  bool client_retry = false;
-  double work_ms = 0;          // hint of the request's cost; 0: none
+  int request_class = 0;       // index in the settings
+  int tenant = -1;             // index in the settings; -1: absent or not configured
+  double budget_ms = 0;        // from the request's last byte to its final response
+  bool client_retry = false;   // the client marks the request as a retry
+  double work_ms = 0;          // the client's hint of the service time; 0: none
   std::uint64_t key = 0;       // affinity key; 0: none
   bool body_incoming = false;  // part of the body has not been received yet
 };
 
-// A request for one of the proxy's own paths.
+// A request for one of the proxy's own paths, for example its readiness check.
 struct LocalPathRequest {};
 
+// Why admission refuses a message. Refusal::status() maps each reason to an HTTP status.
 enum class RefusalReason : std::uint8_t {
   unknown_request_class,
   ambiguous_path,  // an endpoint might resolve it to another request class
@@ -57,19 +58,20 @@
   idempotency_key_mismatch,  // missing where the class requires a key, or present where it forbids one
   unreadable_budget,
   at_capacity,
-  endpoints_unknown,  // no endpoint list since the start of the process
-  fleet_limit         // a fleet-wide limit is exhausted
+  endpoints_unknown,  // the process has not received an endpoint list yet
+  fleet_limit         // the quota of a fleet-wide limit is used up
 };
 
+// The final response to a message that is not dispatched.
 struct Refusal {
   RefusalReason reason = RefusalReason::at_capacity;
   int request_class = -1;     // -1: unknown; such a request is not counted
-  double retry_after_ms = 0;  // 0: not stated in the response
+  double retry_after_ms = 0;  // value of the Retry-After header, in ms; 0: no header
 
   // The HTTP status of the response.
   [[nodiscard]] int status() const;
-  // Whether the connection closes after the response: behind a malformed request the start of the next
-  // request is uncertain.
+  // Whether the connection closes after the response. After a malformed request the proxy can't tell where
+  // the next request starts.
   [[nodiscard]] bool closes_connection() const;
 };
 
@@ -79,26 +81,28 @@
 struct AdmissionContext {
   // The ids of unanswered requests.
   const std::unordered_set<std::string_view>& unanswered_ids;
-  bool at_capacity = false;
-  bool endpoints_unknown = false;
+  bool at_capacity = false;               // the proxy holds its maximum number of requests
+  bool endpoints_unknown = false;         // see RefusalReason
   RequestFilter* fleet_limits = nullptr;  // null: no fleet-wide limits
 };
 
+// Checks messages against the rules of their request class and against the fleet-wide limits.
 class RequestAdmission {
  public:
   RequestAdmission(std::vector<RequestClassRules> classes, std::vector<std::string> tenants)
       : classes_(std::move(classes)), tenants_(std::move(tenants)) {}
 
-  // Never throws. An admitted request has consumed its quota of the fleet's limits; admit() changes nothing
-  // else.
+  // Never throws. Consumes quota of the fleet-wide limits if the request is admitted, and has no other side
+  // effect.
   [[nodiscard]] AdmissionResult admit(const protocol::Message& message,
                                       const AdmissionContext& context) const;
 
   [[nodiscard]] const std::vector<RequestClassRules>& classes() const { return classes_; }
 
  private:
-  [[nodiscard]] int class_of(std::string_view path) const;
-  [[nodiscard]] int tenant_of(const protocol::Message& message) const;
+  // Indices in the settings; -1: unknown.
+  [[nodiscard]] int find_request_class(std::string_view path) const;
+  [[nodiscard]] int find_tenant(const protocol::Message& message) const;
 
   std::vector<RequestClassRules> classes_;
   std::vector<std::string> tenants_;
--- a/src/proxy/request/forwarder.cpp
+++ b/src/proxy/request/forwarder.cpp
@@ -15,13 +15,15 @@
 
 namespace {
 
+// Timeout of a health check or load probe.
 constexpr double probe_limit_ms = 1000;
-// Allowed between the last written byte of a response and its arrival at the client.
+// Time reserved for a response to reach the client after its last byte is written.
 constexpr double delivery_delay_ms = 2;
-// Deadline of a request whose body is incoming; DownstreamConnections enforces the client's progress.
+// Deadline of a request while its body is being received. DownstreamConnections enforces that the client
+// makes progress.
 constexpr double max_body_ms = 3600000;
 
-// Of the AttemptId of a health check.
+// Set in the AttemptId of a health check or load probe.
 constexpr AttemptId probe_bit = AttemptId{1} << 55;
 
 AttemptId attempt_id(RequestNumber number, int attempt) {
@@ -29,7 +31,7 @@
 }
 RequestNumber request_number_of(AttemptId id) { return RequestNumber{id >> attempt_bits}; }
 
-// The status of a final response after a last attempt with this outcome.
+// The HTTP status of the final response if the last attempt had this outcome.
 int failure_status(Outcome outcome) {
   if (outcome == Outcome::timeout) return 504;
   return outcome == Outcome::error ? 500 : 502;
@@ -104,15 +106,16 @@
 
 void RequestForwarder::dispatch(DownstreamEvent& event, const AdmittedRequest& admitted) {
   downstream_.set_request_class(event.client, admitted.request_class);
-  Request request{.request_class = admitted.request_class,
-                  .tenant = admitted.tenant,
-                  .arrived_ms = now_ms_,
-                  .deadline_ms = admitted.body_incoming ? now_ms_ + max_body_ms : due_for(admitted.budget_ms),
-                  .client_retry = admitted.client_retry,
-                  .work_ms = admitted.work_ms,
-                  .key = admitted.key,
-                  .large_body = admitted.body_incoming,
-                  .body_incoming = admitted.body_incoming};
+  Request request{
+      .request_class = admitted.request_class,
+      .tenant = admitted.tenant,
+      .arrived_ms = now_ms_,
+      .deadline_ms = admitted.body_incoming ? now_ms_ + max_body_ms : response_due_ms(admitted.budget_ms),
+      .client_retry = admitted.client_retry,
+      .work_ms = admitted.work_ms,
+      .key = admitted.key,
+      .large_body = admitted.body_incoming,
+      .body_incoming = admitted.body_incoming};
   RequestNumber number{next_number_++};
   unanswered_ids_.insert(event.message->find(names::request_id));
   in_flight_.emplace(number, InFlightRequest{.client = event.client,
@@ -127,13 +130,13 @@
     request_filter_->release(admitted.tenant, admitted.request_class);
 }
 
-// When the final response is due. A graceful shutdown shortens the budget, so that policy and endpoint see
-// the time that is left and not the client's budget.
-double RequestForwarder::due_for(double budget_ms) const {
+// A graceful shutdown shortens the budget: the policy and the endpoint must see the time until the shutdown
+// fails unanswered requests, not the client's whole budget.
+double RequestForwarder::response_due_ms(double budget_ms) const {
   return std::min(now_ms_ + budget_ms - delivery_delay_ms, shutdown_.responses_due_ms());
 }
 
-// More of the request's body is received. The deadline starts with its last byte.
+// Forwards newly received bytes of the request's body. The time budget starts with the last byte.
 void RequestForwarder::body_received(ClientId client) {
   auto it = unanswered_.find(client);
   if (it == unanswered_.end()) return;
@@ -142,7 +145,7 @@
   auto id = attempt_id(number, request.latest_attempt);
   if (request.body_incoming && request.message->complete()) {
     request.body_incoming = false;
-    request.due_ms = due_for(request.budget_ms);
+    request.due_ms = response_due_ms(request.budget_ms);
     upstreams_.set_limit(id, requests_.body_complete(number, request.due_ms, now_ms_));
   }
   upstreams_.continue_request(id);
@@ -155,23 +158,24 @@
   upstreams_.resume_response(attempt_id(it->second, in_flight_.at(it->second).latest_attempt));
 }
 
-// The client closed its connection, or its sending side, before the final response.
+// The client has closed its connection, or its sending side, before the final response.
 void RequestForwarder::client_gone(ClientId client) {
   auto it = unanswered_.find(client);
   if (it == unanswered_.end()) return;  // the final response is being sent
   auto number = it->second;
   const auto& request = in_flight_.at(number);
-  // Independent of the policy's cancels: without the client neither body can ever complete.
+  // A streaming body can't complete without the client, so its attempt is cancelled whatever the policy
+  // decides.
   bool body_streams = request.body_incoming || requests_.is_responding(number);
   unanswered_.erase(it);
   unanswered_ids_.erase(request.message->find(names::request_id));
   log_client_gone(number);
   requests_.client_left(number, now_ms_);
   abandon_unsent_attempts(number);
-  if (auto left = in_flight_.find(number);
-      left != in_flight_.end() && left->second.latest_attempt >= 0 && body_streams)
-    cancel_attempt(number, left->second.latest_attempt);
-  downstream_.respond(client, 500, "", "");  // a half-closed client still reads
+  if (auto remaining = in_flight_.find(number);
+      remaining != in_flight_.end() && remaining->second.latest_attempt >= 0 && body_streams)
+    cancel_attempt(number, remaining->second.latest_attempt);
+  downstream_.respond(client, 500, "", "");  // a half-closed client can still read it
 }
 
 void RequestForwarder::fail_unanswered() {
@@ -214,7 +218,8 @@
   return it->second.client;
 }
 
-// The first response to start is the request's final response; if it breaks, there is no retry.
+// The first response that starts to stream is the request's final response. If it breaks, the request is not
+// retried.
 void RequestForwarder::response_started(AttemptEvent& event) {
   auto number = request_number_of(event.attempt);
   int attempt = attempt_of(event.attempt);
@@ -256,7 +261,7 @@
     if (request.message->partly_forwarded()) requests_.body_forwarded(number);
     streaming = requests_.is_responding(number) && request.latest_attempt == attempt;
   }
-  // A response needs no decision of the policy: it is forwarded, and attempt_ended() reports the request as
+  // Forwarding a response needs no decision of the policy: attempt_ended() below reports the request as
   // closed.
   if (open && streaming) {
     ClientId client = close_request(number);
@@ -278,7 +283,7 @@
 
 // --- Actions of the policy --------------------------------------------------------------------------------
 
-// Removes a request with a final response from the unanswered ones. Returns its client.
+// Removes a request whose final response is decided from the unanswered requests. Returns its client.
 ClientId RequestForwarder::close_request(RequestNumber number) {
   const auto& request = in_flight_.at(number);
   abandon_unsent_attempts(number);
@@ -287,8 +292,8 @@
   return request.client;
 }
 
-// Ends the unsent attempts of a request that is answered, or whose client has left. Holds even where the
-// settings forbid cancels: an endpoint has nothing to cancel before the request's last byte.
+// Ends the unsent attempts of a request that is answered or whose client has left. Done even if the settings
+// forbid cancellation: before the request's last byte the endpoint has nothing to cancel.
 void RequestForwarder::abandon_unsent_attempts(RequestNumber number) {
   for (int attempt = 0; attempt < max_attempts; ++attempt)
     upstreams_.abandon_unsent(attempt_id(number, attempt));
@@ -339,7 +344,7 @@
 
 void RequestForwarder::execute(const StartAttempt& command) {
   auto id = attempt_id(command.request, command.attempt);
-  // The request was answered, or its client left, in the same turn after the decision.
+  // Later in the turn of the decision, the request was answered or its client left.
   if (!requests_.is_open(command.request)) {
     upstreams_.events().push_back({.attempt = id,
                                    .endpoint = command.endpoint,
@@ -364,7 +369,7 @@
                                 probe_limit_ms);
 }
 
-// Reports `cancelled` only where the attempt was not over: a completed attempt has its own event.
+// Reports `cancelled` only if the attempt was still in flight: a completed attempt has its own event.
 void RequestForwarder::execute(const CancelAttempt& command) {
   auto id = attempt_id(command.request, command.attempt);
   if (upstreams_.cancel(id))
--- a/src/proxy/request/forwarder.hpp
+++ b/src/proxy/request/forwarder.hpp
@@ -1,5 +1,5 @@
-// Forwards requests: admission, the policy's decisions, attempts at endpoints, the final response. Passes the
-// events of a loop turn to the policy, then executes the commands that the policy decided on.
+// Forwards requests from admission to the final response. Passes the events of a loop turn to the policy,
+// then executes the resulting commands on the client and upstream connections.
 #pragma once
 
 #include <optional>
@@ -26,6 +26,7 @@
 
 namespace meadowgauge::proxy {
 
+// Connects DownstreamConnections, the policy and Upstreams. Owns the requests in flight.
 class RequestForwarder final : RequestActions {
  public:
   // All parts outlive the forwarder.
@@ -47,8 +48,8 @@
   // `filter`: checked for each request before the policy decides; outlives the forwarder. Null: no check.
   void set_request_filter(RequestFilter* filter) { request_filter_ = filter; }
 
-  // Events of a loop turn. Upstream events come first, so that new requests can use the capacity that they
-  // free.
+  // Events of a loop turn. The caller passes upstream events first, because they free capacity for new
+  // requests.
   void upstream_event(AttemptEvent& event);
   void downstream_event(DownstreamEvent& event);
   // The request's next decision is due.
@@ -65,19 +66,20 @@
   [[nodiscard]] bool has_attempted(EndpointIndex endpoint) const { return requests_.has_attempted(endpoint); }
 
  private:
-  // A request's client, and its bytes for as long as an attempt may need them. RequestTable holds the state.
+  // A request's client, and its bytes as long as an attempt may need them. RequestTable holds the request's
+  // state.
   struct InFlightRequest {
     ClientId client = 0;
     SharedMessage message;
     double budget_ms = 0;
     double due_ms = 0;  // when the final response is due
     int request_class = 0;
-    int latest_attempt = -1;     // the attempt whose response streams, if any
+    int latest_attempt = -1;     // started last, or the attempt whose response streams; -1: none
     bool body_incoming = false;  // part of the body has not been received yet
-    int failure_status = 0;      // status by the outcome of the last ended attempt; 0: none has ended
+    int failure_status = 0;      // HTTP status for the outcome of the last ended attempt; 0: none has ended
   };
 
-  // Commands, executed in the order of the decisions.
+  // Commands, executed in the order in which the policy decided on them.
   struct StartAttempt {
     RequestNumber request;
     int attempt;
@@ -164,8 +166,9 @@
   void log_further_attempt(RequestNumber number, int attempt, EndpointIndex endpoint,
                            const AttemptTimeout& timeout) const;
   void log_client_gone(RequestNumber number) const;
-  [[nodiscard]] double due_for(double budget_ms) const;
-  // The client of an unanswered request; absent otherwise.
+  // When the final response to a request with this budget is due.
+  [[nodiscard]] double response_due_ms(double budget_ms) const;
+  // The client of an unanswered request; absent if the request is answered or its client has left.
   [[nodiscard]] std::optional<ClientId> unanswered_client(RequestNumber number) const;
   ClientId close_request(RequestNumber number);
   void abandon_unsent_attempts(RequestNumber number);
--- a/src/proxy/request/log.cpp
+++ b/src/proxy/request/log.cpp
@@ -1,4 +1,4 @@
-// The log lines of RequestForwarder: one line per event, with the request's id or number. Lines below the log
+// The log lines of RequestForwarder. Each line names the request by its id or number. Lines below the log
 // level are not formatted.
 #include <array>
 #include <cmath>
@@ -14,16 +14,17 @@
 namespace {
 
 std::string_view outcome_name(Outcome outcome) {
-  constexpr std::array<std::string_view, 8> all = {"succeeded",   "error", "rejected",  "timed out",
-                                                   "unreachable", "reset", "cancelled", "superseded"};
-  return all[static_cast<std::size_t>(outcome)];
+  constexpr std::array<std::string_view, 8> outcome_names = {
+      "succeeded", "error", "rejected", "timed out", "unreachable", "reset", "cancelled", "superseded"};
+  return outcome_names[static_cast<std::size_t>(outcome)];
 }
 
 std::string rounded_ms(double ms) { return std::to_string(std::lround(ms)) + " ms"; }
 
 }  // namespace
 
-// Logs the client's request id, which is the same at every balancer that the request passes.
+// Logs the client's request id, because it is the same at every balancer that the request passes. Also counts
+// the reason.
 void RequestForwarder::log_rejection(RequestNumber number, std::string_view outcome, RejectionReason reason) {
   const auto& request = in_flight_.at(number);
   auto request_class = static_cast<std::size_t>(request.request_class);
@@ -57,8 +58,8 @@
         {"duration_ms", duration_ms}});
 }
 
-// What a further attempt was judged by. Together with the line of its last byte (upstream/exchange.cpp) it
-// tells from one run why a request was executed twice.
+// Logs why a retry or hedged request was allowed. Together with the line logged when an attempt's last byte
+// is sent (upstream/exchange.cpp), it explains why a request was executed twice.
 void RequestForwarder::log_further_attempt(RequestNumber number, int attempt, EndpointIndex endpoint,
                                            const AttemptTimeout& timeout) const {
   if (attempt == 0 || !log_.wants(Level::debug)) return;
--- a/src/proxy/request/shared_message.hpp
+++ b/src/proxy/request/shared_message.hpp
@@ -1,4 +1,4 @@
-// Shared ownership of a message that is received and forwarded at the same time.
+// Shared ownership of a message that is forwarded while it is still being received.
 #pragma once
 
 #include <memory>
@@ -7,7 +7,7 @@
 
 namespace meadowgauge::proxy {
 
-// One connection receives into the message while another forwards from it. Both own it.
+// Owned by the connection that receives the message and by the connection that forwards it.
 using SharedMessage = std::shared_ptr<protocol::Message>;
 
 }  // namespace meadowgauge::proxy
--- a/tests/proxy/endpoint/endpoint_registry_test.cpp
+++ b/tests/proxy/endpoint/endpoint_registry_test.cpp
@@ -1,4 +1,5 @@
-// The endpoint registry under lists that are late, out of order or from a discovery with restarted versions.
+// EndpointRegistry with endpoint lists that are late, out of order or from a discovery with restarted
+// versions.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -27,7 +28,8 @@
           .started_ms = started_ms};
 }
 
-// Merges the lists and applies the changes as the balancer does; returns health and start of each endpoint.
+// Merges the lists and applies the changes as the balancer does. Returns the health and start time of each
+// endpoint.
 std::map<std::string, std::pair<EndpointListEntry::Health, double>> merged_endpoints(
     const std::vector<EndpointList>& lists, EndpointRegistry& registry) {
   std::map<std::string, std::pair<EndpointListEntry::Health, double>> endpoints;
@@ -43,38 +45,39 @@
   return endpoints;
 }
 
-// Deltas and full lists in any order, with repeats, lead to the same endpoints as in order of version.
-TEST(EndpointRegistry, AnyOrderOfListsEndsInTheSameState) {
+// Deltas and full lists in any order, with one repeated, must yield the same endpoints as in order of
+// version. Otherwise a delayed list would restore a departed server or lose a new server.
+TEST(EndpointRegistry, OrderOfListsDoesNotChangeTheResult) {
   std::mt19937 rng(11);
   for (int servers : {3, 60})
     for (int round = 0; round < 300; ++round) {
-      std::map<std::string, EndpointListEntry> truth;
+      std::map<std::string, EndpointListEntry> current;
       std::vector<EndpointList> lists;
       int next = 0;
       for (int seq = 1; seq <= 12; ++seq) {
         EndpointList list{.seq = seq, .full = seq == 1 || rng() % 3 == 0, .hosts = {}, .skipped = {}};
         for (int i = 0; i < (seq == 1 ? servers : static_cast<int>(rng() % 4)); ++i) {
-          if (seq == 1 || truth.empty() || rng() % 3 == 0) {
+          if (seq == 1 || current.empty() || rng() % 3 == 0) {
             auto entry = host("s" + std::to_string(next++), EndpointListEntry::Health::active, seq);
-            truth[entry.name] = entry;
+            current[entry.name] = entry;
             list.hosts.push_back(entry);
             continue;
           }
-          auto it = std::next(truth.begin(), static_cast<long>(rng() % truth.size()));
+          auto it = std::next(current.begin(), static_cast<long>(rng() % current.size()));
           bool draining = it->second.health == EndpointListEntry::Health::leaving;
           it->second.health = draining ? EndpointListEntry::Health::left : EndpointListEntry::Health::leaving;
           list.hosts.push_back(it->second);
-          if (draining) truth.erase(it);
+          if (draining) current.erase(it);
         }
         if (list.full) {
           list.hosts.clear();
-          for (const auto& [name, entry] : truth) list.hosts.push_back(entry);
+          for (const auto& [name, entry] : current) list.hosts.push_back(entry);
         }
         lists.push_back(list);
       }
       EndpointRegistry in_order;
       auto expected = merged_endpoints(lists, in_order);
-      // The first list stays first: a balancer starts with it.
+      // The first list stays first, because a balancer starts with it.
       std::shuffle(lists.begin() + 1, lists.end(), rng);
       lists.push_back(lists[rng() % lists.size()]);
       EndpointRegistry shuffled;
@@ -82,7 +85,7 @@
     }
 }
 
-TEST(EndpointRegistry, OlderListsRestoreNothing) {
+TEST(EndpointRegistry, OlderListsChangeNothing) {
   EndpointRegistry registry;
   registry.merge({.seq = 5, .full = true, .hosts = {host("x"), host("y")}, .skipped = {}}, 0);
   registry.merge(
@@ -99,8 +102,9 @@
   EXPECT_TRUE(empty.hosts.empty() && !empty.full);
 }
 
-// After a restart of the versions, drains apply at once and everything else after 20 s without a newer list.
-// A known drain outlives the first list of the new count.
+// Guards against a balancer that ignores a discovery whose versions have restarted. Drains apply at once, and
+// all other entries after 20 s without a newer list. The first list of the restarted versions does not end a
+// drain.
 TEST(EndpointRegistry, RestartedVersionsAreAdoptedAfterTwentySeconds) {
   EndpointRegistry registry;
   registry.merge({.seq = 90, .full = true, .hosts = {host("x"), host("y"), host("w")}, .skipped = {}}, 0);
@@ -125,7 +129,7 @@
       registry.merge({.seq = 5, .full = false, .hosts = {host("y")}, .skipped = {}}, 22000).hosts.size(), 1U);
 }
 
-// A single late list is followed by a newer one and does not count as a restart of the versions.
+// A single late list that is followed by a newer list must not count as a restart of the versions.
 TEST(EndpointRegistry, SingleLateListIsNeverAdopted) {
   EndpointRegistry registry;
   registry.merge({.seq = 90, .full = true, .hosts = {host("x")}, .skipped = {}}, 0);
@@ -136,7 +140,7 @@
                   .hosts.empty());
 }
 
-TEST(EndpointRegistry, RememberedServersAreBounded) {
+TEST(EndpointRegistry, NumberOfRecordedServersIsBounded) {
   EndpointRegistry registry;
   for (int i = 1; i < 60000; ++i) {
     auto name = "s" + std::to_string(i);
--- a/tests/proxy/proxy_settings_test.cpp
+++ b/tests/proxy/proxy_settings_test.cpp
@@ -1,4 +1,4 @@
-// The proxy's settings as one typed struct, and the division of descriptors.
+// Reading of ProxySettings, and the division of file descriptors.
 #include "proxy/proxy_settings.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace meadowgauge::proxy {
 namespace {
 
-TEST(ProxySettings, UnsetSettingsTakeTheirDefaults) {
+TEST(ProxySettings, AbsentSettingsTakeDefaults) {
   auto settings = read_proxy_settings({}, Logger());
   EXPECT_TRUE(settings.request_classes.empty());
   EXPECT_TRUE(settings.tenants.empty());
@@ -24,7 +24,7 @@
   EXPECT_EQ(settings.max_client_timeout_ms(), 0);
 }
 
-TEST(ProxySettings, AreReadByTheirKeys) {
+TEST(ProxySettings, ReadsEachSettingByItsKey) {
   auto settings = read_proxy_settings({{"path_prefixes.count", "3"},
                                        {"path_prefixes.0.name", "view"},
                                        {"path_prefixes.0.repeat", "idempotent"},
@@ -69,7 +69,7 @@
   EXPECT_EQ(settings.max_in_flight, 50);
 }
 
-TEST(ProxySettings, MalformedNumbersAreLoggedAndDefault) {
+TEST(ProxySettings, MalformedNumbersAreLoggedAndTakeDefaults) {
   std::string lines;
   Logger log(Level::debug, [&](Level level, std::string_view line, std::span<const LogField>) {
     EXPECT_EQ(level, Level::warning);
@@ -99,10 +99,10 @@
   }
 }
 
-TEST(DescriptorBudget, AdminServerIsSubtractedFirst) {
-  EXPECT_EQ(descriptors_beside_admin(1024, false), 1024u);
-  EXPECT_EQ(descriptors_beside_admin(1024, true), 1004u);
-  EXPECT_EQ(descriptors_beside_admin(8, true), 0u);
+TEST(DescriptorBudget, AdminServerDescriptorsAreSubtracted) {
+  EXPECT_EQ(descriptors_without_admin_server(1024, false), 1024u);
+  EXPECT_EQ(descriptors_without_admin_server(1024, true), 1004u);
+  EXPECT_EQ(descriptors_without_admin_server(8, true), 0u);
 }
 
 }  // namespace
--- a/tests/proxy/proxy_shutdown_test.cpp
+++ b/tests/proxy/proxy_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// The graceful shutdown's state machine: closing of the listener, failure of unanswered requests, finish.
+// GracefulShutdown: when it closes the listener, fails unanswered requests and finishes.
 #include <gtest/gtest.h>
 
 #include "proxy/graceful_shutdown.hpp"
@@ -18,7 +18,7 @@
   EXPECT_EQ(shutdown.responses_due_ms(), GracefulShutdown::never);
 }
 
-TEST(GracefulShutdown, DrainsClosesAndFinishesInThatOrder) {
+TEST(GracefulShutdown, PhasesFollowInOrder) {
   GracefulShutdown shutdown({.max_client_timeout_ms = 800, .drain_ms = {}});
   shutdown.begin(begin_ms, true);
   EXPECT_EQ(shutdown.phase(), Phase::draining);
@@ -44,7 +44,7 @@
   shutdown.connections_closed(begin_ms + 1200, 1);
   EXPECT_FALSE(shutdown.finished());
 
-  // Requests that arrive in between fail too.
+  // Requests that arrive before the finish are failed too.
   EXPECT_TRUE(shutdown.advance(begin_ms + 1300, 1).fail_unanswered);
   shutdown.connections_closed(begin_ms + 1349, 1);
   EXPECT_FALSE(shutdown.finished());
@@ -55,7 +55,7 @@
 TEST(GracefulShutdown, FinishesWithTheLastConnection) {
   GracefulShutdown shutdown({.max_client_timeout_ms = 800, .drain_ms = {}});
   shutdown.begin(begin_ms, true);
-  // Draining does not finish without connections, because new ones may arrive.
+  // The draining phase does not end when no connection is open, because new connections may arrive.
   static_cast<void>(shutdown.advance(begin_ms + 10, 0));
   shutdown.connections_closed(begin_ms + 10, 0);
   EXPECT_EQ(shutdown.phase(), Phase::draining);
@@ -64,23 +64,23 @@
   EXPECT_TRUE(shutdown.finished());
 }
 
-TEST(GracefulShutdown, DrainFollowsTheClientTimeoutWithinBounds) {
-  auto drains_for = [](GracefulShutdownSettings settings) {
+TEST(GracefulShutdown, DrainIsTheClientTimeoutWithinBounds) {
+  auto drain_duration_ms = [](GracefulShutdownSettings settings) {
     GracefulShutdown shutdown(settings);
     shutdown.begin(begin_ms, true);
     return shutdown.next_due_ms() - begin_ms;
   };
-  EXPECT_EQ(drains_for({.max_client_timeout_ms = 100, .drain_ms = {}}), 450);
-  EXPECT_EQ(drains_for({.max_client_timeout_ms = 2000, .drain_ms = {}}), 2000);
-  EXPECT_EQ(drains_for({.max_client_timeout_ms = 60000, .drain_ms = {}}), 3000);
-  EXPECT_EQ(drains_for({.max_client_timeout_ms = 2000, .drain_ms = 20.0}), 20);
+  EXPECT_EQ(drain_duration_ms({.max_client_timeout_ms = 100, .drain_ms = {}}), 450);
+  EXPECT_EQ(drain_duration_ms({.max_client_timeout_ms = 2000, .drain_ms = {}}), 2000);
+  EXPECT_EQ(drain_duration_ms({.max_client_timeout_ms = 60000, .drain_ms = {}}), 3000);
+  EXPECT_EQ(drain_duration_ms({.max_client_timeout_ms = 2000, .drain_ms = 20.0}), 20);
 }
 
 TEST(GracefulShutdown, LongerDrainPostponesTheFinish) {
   GracefulShutdown shutdown({.max_client_timeout_ms = 800, .drain_ms = 5000.0});
   shutdown.begin(begin_ms, true);
   EXPECT_EQ(shutdown.responses_due_ms(), begin_ms + 5000 + 550 - 150);
-  // A shorter drain does not advance it: clients with a request in flight get their whole timeout.
+  // A shorter drain does not bring the finish forward: requests in flight get their whole client timeout.
   GracefulShutdown shorter({.max_client_timeout_ms = 800, .drain_ms = 20.0});
   shorter.begin(begin_ms, true);
   EXPECT_EQ(shorter.responses_due_ms(), begin_ms + 800 + 550 - 150);
@@ -100,7 +100,7 @@
   EXPECT_TRUE(shutdown.finished());
 }
 
-TEST(GracefulShutdown, HandedOverFinishesWithTheLastConnection) {
+TEST(GracefulShutdown, AfterTakeoverFinishesWithTheLastConnection) {
   GracefulShutdown shutdown({.max_client_timeout_ms = 800, .drain_ms = {}});
   shutdown.handed_over();
   EXPECT_TRUE(shutdown.serving());
--- a/tests/proxy/request/request_admission_test.cpp
+++ b/tests/proxy/request/request_admission_test.cpp
@@ -1,4 +1,5 @@
-// The edge of the proxy: which parsed messages are dispatched, and how the others are refused.
+// RequestAdmission: which parsed messages are admitted, and with which reason and status the others are
+// refused.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -13,12 +14,12 @@
 
 using protocol::Message;
 
-// Grants or refuses as the test sets it, and counts what was taken.
+// Returns the wait time that the test sets, and counts the calls.
 struct ScriptedFleetLimits final : RequestFilter {
   double wait_ms = 0;
-  int taken = 0;
+  int acquire_calls = 0;
   double try_acquire(int, int) override {
-    ++taken;
+    ++acquire_calls;
     return wait_ms;
   }
   void release(int, int) override {}
@@ -28,7 +29,7 @@
 
 class RequestAdmissionTest : public testing::Test {
  protected:
-  // `head` is a request line and header lines without their ends; a Host line is added.
+  // Admits a request. `head`: the request line and header lines, without line ends; a Host line is added.
   AdmissionResult admit(const std::vector<std::string>& head, const std::string& body = "") {
     std::string bytes;
     for (const auto& line : head) bytes += line + "\r\n";
@@ -40,8 +41,8 @@
     return admission_.admit(
         message, {.unanswered_ids = unanswered_ids_, .at_capacity = at_capacity_, .fleet_limits = &limits_});
   }
-  // The refusal; the test fails where there is none.
-  Refusal refused(const std::vector<std::string>& head, const std::string& body = "") {
+  // Returns the refusal; the test fails if the request is not refused.
+  Refusal admit_refused(const std::vector<std::string>& head, const std::string& body = "") {
     auto result = admit(head, body);
     EXPECT_TRUE(std::holds_alternative<Refusal>(result));
     return std::holds_alternative<Refusal>(result) ? std::get<Refusal>(result) : Refusal{};
@@ -49,11 +50,11 @@
   void expect_refused(const std::vector<std::string>& head, RefusalReason reason, int status,
                       const std::string& body = "") {
     SCOPED_TRACE(testing::PrintToString(head));
-    auto refusal = refused(head, body);
+    auto refusal = admit_refused(head, body);
     EXPECT_EQ(refusal.reason, reason);
     EXPECT_EQ(refusal.status(), status);
     EXPECT_TRUE(refusal.closes_connection());
-    EXPECT_EQ(limits_.taken, 0);
+    EXPECT_EQ(limits_.acquire_calls, 0);
   }
 
   transport::Pool pool_{8};
@@ -67,7 +68,7 @@
       {"web", "app"}};
 };
 
-TEST_F(RequestAdmissionTest, ReadsAWholeRequest) {
+TEST_F(RequestAdmissionTest, AdmitsCompleteRequest) {
   auto result = admit({"POST /book/7?x=1 HTTP/1.1", "X-Call-Id: a1", "X-Caller: app", "X-Budget-Ms: 250",
                        "X-Again: 1", "Idempotency-Key: k", "X-Call-Info: work_ms=12", "Content-Length: 2"},
                       "ok");
@@ -78,10 +79,10 @@
   EXPECT_EQ(request.budget_ms, 250);
   EXPECT_TRUE(request.client_retry);
   EXPECT_FALSE(request.body_incoming);
-  EXPECT_EQ(limits_.taken, 1);
+  EXPECT_EQ(limits_.acquire_calls, 1);
 }
 
-TEST_F(RequestAdmissionTest, TakesDefaultsForWhatIsNotStated) {
+TEST_F(RequestAdmissionTest, AbsentHeadersTakeDefaults) {
   auto result = admit({"GET /view HTTP/1.1", "X-Call-Id: a1"});
   ASSERT_TRUE(std::holds_alternative<AdmittedRequest>(result));
   const auto& request = std::get<AdmittedRequest>(result);
@@ -93,21 +94,21 @@
   EXPECT_EQ(request.key, 0u);
 }
 
-TEST_F(RequestAdmissionTest, ReportsABodyThatIsStillToCome) {
+TEST_F(RequestAdmissionTest, ReportsIncompleteBody) {
   auto result = admit({"POST /pay HTTP/1.1", "X-Call-Id: a1", "Content-Length: 9"}, "part");
   ASSERT_TRUE(std::holds_alternative<AdmittedRequest>(result));
   EXPECT_TRUE(std::get<AdmittedRequest>(result).body_incoming);
 }
 
-TEST_F(RequestAdmissionTest, LeavesOwnPathsToTheProxy) {
+TEST_F(RequestAdmissionTest, ProxyPathsAreNotAdmitted) {
   for (const auto* line : {"GET /-/ready HTTP/1.1", "POST /-/ HTTP/1.1", "GET /-/other?x HTTP/1.1"})
     EXPECT_TRUE(std::holds_alternative<LocalPathRequest>(admit({line}))) << line;
-  EXPECT_EQ(limits_.taken, 0);
+  EXPECT_EQ(limits_.acquire_calls, 0);
 }
 
-TEST_F(RequestAdmissionTest, RefusesPathsOfNoClassOrOfMoreThanOne) {
+TEST_F(RequestAdmissionTest, RefusesUnknownClassAndAmbiguousPath) {
   expect_refused({"GET /other HTTP/1.1", "X-Call-Id: a1"}, RefusalReason::unknown_request_class, 404);
-  EXPECT_EQ(refused({"GET /other HTTP/1.1"}).request_class, -1);
+  EXPECT_EQ(admit_refused({"GET /other HTTP/1.1"}).request_class, -1);
   expect_refused({"GET /view/../pay HTTP/1.1", "X-Call-Id: a1"}, RefusalReason::ambiguous_path, 400);
   expect_refused({"GET /view/%2e%2e/pay HTTP/1.1", "X-Call-Id: a1"}, RefusalReason::ambiguous_path, 400);
 }
@@ -124,7 +125,7 @@
       RefusalReason::control_header_not_forwarded, 400);
 }
 
-TEST_F(RequestAdmissionTest, RefusesIdsThatAreMissingOrInFlight) {
+TEST_F(RequestAdmissionTest, RefusesMissingIdAndIdInFlight) {
   expect_refused({"GET /view HTTP/1.1"}, RefusalReason::missing_id, 400);
   expect_refused({"GET /view HTTP/1.1", "X-Call-Id:"}, RefusalReason::missing_id, 400);
   unanswered_ids_.insert("a1");
@@ -132,7 +133,7 @@
   EXPECT_TRUE(std::holds_alternative<AdmittedRequest>(admit({"GET /view HTTP/1.1", "X-Call-Id: a2"})));
 }
 
-TEST_F(RequestAdmissionTest, HoldsMethodBodyAndKeyToTheRulesOfTheClass) {
+TEST_F(RequestAdmissionTest, RefusesMethodBodyOrKeyAgainstClassRules) {
   expect_refused({"POST /view HTTP/1.1", "X-Call-Id: a1"}, RefusalReason::wrong_method, 405);
   expect_refused({"HEAD /view HTTP/1.1", "X-Call-Id: a1"}, RefusalReason::wrong_method, 405);
   expect_refused({"GET /pay HTTP/1.1", "X-Call-Id: a1"}, RefusalReason::wrong_method, 405);
@@ -160,28 +161,28 @@
   }
 }
 
-TEST_F(RequestAdmissionTest, AtCapacityKeepsTheConnectionAndUsesNoLimit) {
+TEST_F(RequestAdmissionTest, AtCapacityKeepsConnectionAndTakesNoQuota) {
   at_capacity_ = true;
-  auto refusal = refused({"GET /view HTTP/1.1", "X-Call-Id: a1"});
+  auto refusal = admit_refused({"GET /view HTTP/1.1", "X-Call-Id: a1"});
   EXPECT_EQ(refusal.reason, RefusalReason::at_capacity);
   EXPECT_EQ(refusal.status(), 503);
   EXPECT_EQ(refusal.request_class, 0);
   EXPECT_EQ(refusal.retry_after_ms, 0);
   EXPECT_FALSE(refusal.closes_connection());
-  EXPECT_EQ(limits_.taken, 0);
+  EXPECT_EQ(limits_.acquire_calls, 0);
   // A malformed request gets its own reason all the same.
   expect_refused({"GET /view HTTP/1.1"}, RefusalReason::missing_id, 400);
 }
 
-TEST_F(RequestAdmissionTest, BeyondALimitOfTheFleetStatesWhenToRetry) {
+TEST_F(RequestAdmissionTest, ExhaustedFleetLimitStatesRetryAfter) {
   limits_.wait_ms = 40;
-  auto refusal = refused({"POST /pay HTTP/1.1", "X-Call-Id: a1"});
+  auto refusal = admit_refused({"POST /pay HTTP/1.1", "X-Call-Id: a1"});
   EXPECT_EQ(refusal.reason, RefusalReason::fleet_limit);
   EXPECT_EQ(refusal.status(), 429);
   EXPECT_EQ(refusal.request_class, 2);
   EXPECT_EQ(refusal.retry_after_ms, 40);
   EXPECT_FALSE(refusal.closes_connection());
-  EXPECT_EQ(limits_.taken, 1);
+  EXPECT_EQ(limits_.acquire_calls, 1);
 }
 
 }  // namespace
--- a/tests/proxy/request/request_hedging_test.cpp
+++ b/tests/proxy/request/request_hedging_test.cpp
@@ -1,4 +1,5 @@
-// Hedged requests in RequestTable: until when an attempt that still waits for its connection may be sent.
+// RequestTable with hedged requests: the latest time at which an attempt may be sent if it is still waiting
+// for its connection.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,10 +10,10 @@
 namespace meadowgauge::proxy {
 namespace {
 
-constexpr double window_ms = 500;  // for which servers remember an idempotency key
+constexpr double window_ms = 500;  // servers remember an idempotency key for this time
 
-// Two endpoints and one class with an idempotency key. Holds until when each attempt of a request may be
-// sent.
+// Two endpoints, and one request class with an idempotency key. Records the latest time at which each attempt
+// of the hedged request may be sent.
 class RequestHedgingTest : public testing::Test, protected RequestActions {
  protected:
   RequestHedgingTest() {
@@ -34,8 +35,8 @@
   void cancel_attempt(RequestNumber, int) override {}
   void probe(EndpointIndex) override {}
 
-  // A request that its endpoint answers at once, unless that is the unresponsive one.
-  void serve_another() {
+  // Sends another request. It is answered at once, unless it goes to the unresponsive endpoint.
+  void serve_other_request() {
     RequestNumber number{next_number_++};
     table_.request_arrived(number, {.arrived_ms = now_ms_, .deadline_ms = now_ms_ + 5000}, now_ms_);
     if (endpoints_[number] == endpoints_[hedged]) return;
@@ -60,21 +61,21 @@
   double now_ms_ = 0;
   std::uint64_t next_number_ = 2;
   std::map<RequestNumber, EndpointIndex> endpoints_;
-  std::map<int, double> send_by_ms_;  // by attempt of the hedged request
+  std::map<int, double> send_by_ms_;  // by attempt of the hedged request, in ms of the test's clock
 };
 
-// The first attempt waits for a connection while the hedged one runs. Sent after the window that this one has
-// begun, it would run a second time.
-TEST_F(RequestHedgingTest, FirstAttemptIsNotSentAfterTheWindowOfItsHedge) {
-  constexpr double step_ms = 7;  // the endpoint is unresponsive a little after the first due time
+// Guards against a request that is executed twice: the first attempt waits for a connection while the hedge
+// runs, and is sent after the servers have forgotten the idempotency key of the hedge.
+TEST_F(RequestHedgingTest, FirstAttemptIsNotSentAfterWindowOfHedge) {
+  constexpr double step_ms = 7;  // the endpoint counts as unresponsive a little after the first due time
   table_.request_arrived(hedged, {.arrived_ms = 0, .deadline_ms = 5000}, 0);
   while (send_by_ms_.size() < 2 && now_ms_ < 2000) {
     now_ms_ += step_ms;
-    serve_another();
+    serve_other_request();
     while (auto key = due_.first(now_ms_))
       table_.decision_due(RequestNumber{transport::number_of(*key)}, now_ms_);
   }
-  ASSERT_EQ(send_by_ms_.size(), 2U) << "not hedged";
+  ASSERT_EQ(send_by_ms_.size(), 2U) << "the request was not hedged";
   EXPECT_LE(send_by_ms_.at(0), now_ms_ + window_ms);
   EXPECT_LE(send_by_ms_.at(1), window_ms);
 }
--- a/tests/proxy/request/request_table_test.cpp
+++ b/tests/proxy/request/request_table_test.cpp
@@ -1,4 +1,4 @@
-// The states of a request in RequestTable: which events move it on, and when it is forgotten.
+// The states of a request in RequestTable: which events change the state, and when the request is erased.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,8 +12,7 @@
 constexpr RequestNumber number{7};
 constexpr Request request{.arrived_ms = 0, .deadline_ms = 5000};
 
-// One request class whose requests may be repeated, two endpoints, and what the table asked to be carried
-// out.
+// One request class with idempotent requests, and two endpoints. Records the actions of the table as text.
 class RequestTableTest : public testing::Test, protected RequestActions {
  protected:
   RequestTableTest() {
@@ -50,14 +49,14 @@
   EndpointIndex endpoint_ = no_endpoint;
 };
 
-TEST_F(RequestTableTest, RequestIsOpenUntilSuccessAndThenErased) {
+TEST_F(RequestTableTest, RequestIsOpenUntilSuccessThenErased) {
   EXPECT_FALSE(table_.is_open(number));
   table_.request_arrived(number, request, 0);
   EXPECT_TRUE(table_.is_open(number));
   EXPECT_FALSE(table_.is_responding(number));
   EXPECT_TRUE(table_.has_attempted(endpoint_));
   EXPECT_FALSE(table_.has_attempted(endpoint_ == EndpointIndex{0} ? EndpointIndex{1} : EndpointIndex{0}));
-  table_.request_arrived(number, request, 1);  // the same number once more
+  table_.request_arrived(number, request, 1);  // a number already in the table has no effect
   table_.attempt_ended(number, {.attempt = 0, .request_closed = true, .load_report = {}}, 10);
   EXPECT_EQ(actions_, "start0 released ");
   EXPECT_FALSE(table_.is_open(number));
@@ -66,7 +65,7 @@
   EXPECT_EQ(due_.next(), transport::DueTimes::none);
 }
 
-TEST_F(RequestTableTest, RespondingRequestStaysSoUntilDone) {
+TEST_F(RequestTableTest, RespondingRequestKeepsItsStateUntilDone) {
   table_.request_arrived(number, request, 0);
   table_.response_started(number, 0, 5);
   EXPECT_TRUE(table_.is_open(number));
@@ -76,14 +75,14 @@
   table_.client_left(number, 7);
   EXPECT_FALSE(table_.is_open(number));
   EXPECT_FALSE(table_.is_responding(number));
-  table_.response_started(number, 0, 8);  // done is final
+  table_.response_started(number, 0, 8);  // no effect on a request that is done
   EXPECT_FALSE(table_.is_responding(number));
-  EXPECT_EQ(table_.size(), 1U);  // its attempt has not ended
+  EXPECT_EQ(table_.size(), 1U);  // the attempt has not ended
   table_.attempt_ended(number, {.attempt = 0, .outcome = Outcome::cancelled, .load_report = {}}, 9);
   EXPECT_EQ(actions_, "start0 cancel0 released ");
 }
 
-TEST_F(RequestTableTest, AFailedAttemptIsFollowedByAnother) {
+TEST_F(RequestTableTest, FailedAttemptIsRetried) {
   table_.request_arrived(number, request, 0);
   auto first = endpoint_;
   table_.attempt_ended(number, {.attempt = 0, .outcome = Outcome::unreachable, .load_report = {}}, 10);
@@ -92,7 +91,7 @@
   EXPECT_TRUE(table_.has_attempted(first));
 }
 
-TEST_F(RequestTableTest, EventsOfAnUnknownRequestChangeNothing) {
+TEST_F(RequestTableTest, EventsOfUnknownRequestHaveNoEffect) {
   table_.attempt_ended(number, {.attempt = 0, .load_report = {}}, 1);
   table_.response_started(number, 0, 1);
   table_.client_left(number, 1);
