--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -47,11 +47,11 @@
            .max_overflow = divide_descriptors(descriptors_).downstream_overflow},
           {.shared = setup.shared, .later = setup.later}),
       discovery_({.loop = loop, .pool = pool_, .due_times = due_, .now_ms = now_ms_}, setup.discovery,
-                 setup.known.seq, setup.seed, log_, watch_terms(setup.settings, log_)),
+                 setup.known.seq, setup.seed, log_, watch_pacing_settings(setup.settings, log_)),
       endpoints_(proxy_settings_, upstreams_, policy_, log_),
       shutdown_(
           {.max_client_timeout_ms = proxy_settings_.max_client_timeout_ms(), .drain_ms = setup.leave_ms}),
-      initial_list_(setup.discovery && !watch_terms(setup.settings, {}).push_grace_ms, now_ms_),
+      initial_list_(setup.discovery && !watch_pacing_settings(setup.settings, {}).push_grace_ms, now_ms_),
       requests_({.settings = proxy_settings_,
                  .now_ms = now_ms_,
                  .due_times = due_,
--- a/src/proxy/discovery/client.cpp
+++ b/src/proxy/discovery/client.cpp
@@ -22,10 +22,10 @@
 namespace {
 
 constexpr std::size_t max_list_bytes = protocol::WatchReader::max_list_bytes;
-// Bounds a complete list that arrives slowly but makes progress.
+// Maximum duration of a call for the complete list, even if the list keeps making progress.
 constexpr double max_complete_list_ms = 5000;
-// Interval at which a line that stays unreadable is requested again.
-constexpr double repeated_reread_ms = 1500;
+// Delay before a line that was unreadable more than once is requested again.
+constexpr double repeated_reread_interval_ms = 1500;
 
 double retry_after_ms(const Message& response) {
   auto text = response.find("Retry-After");
@@ -38,7 +38,7 @@
 
 DiscoveryClient::DiscoveryClient(const Parts& parts, std::optional<transport::Address> agent,
                                  std::int64_t last_version, std::uint64_t seed, Logger log,
-                                 const WatchTerms& terms)
+                                 const WatchPacingSettings& pacing_settings)
     : loop_(parts.loop),
       pool_(parts.pool),
       due_times_(parts.due_times),
@@ -46,7 +46,7 @@
       agent_(std::move(agent)),
       last_version_(last_version),
       log_(std::move(log)),
-      pacing_(terms, seed),
+      pacing_(pacing_settings, seed),
       started_at_ms_(parts.now_ms),
       response_(parts.pool, Message::Kind::response, Message::Body::endless) {}
 
@@ -54,7 +54,7 @@
 
 void DiscoveryClient::start() {
   if (!agent_) return;
-  double delay_ms = pacing_.first_call_ms(now_ms_);
+  double delay_ms = pacing_.first_call_delay_ms(now_ms_);
   if (delay_ms <= 0) return connect();
   set_deadline_in(delay_ms);
 }
@@ -63,9 +63,10 @@
   close();
   clear_deadline();
   agent_ = std::move(agent);
-  // The new agent may count other versions, and its watch may omit endpoints that have left meanwhile.
-  call_ = pacing_.pushed() ? Call::complete_list : Call::watch;
-  complete_list_at_ms_ = pacing_.pushed() ? DueTimes::none : now_ms_ + pacing_.complete_list_delay_ms();
+  // The new agent may count versions independently, and its watch does not report endpoints that left before
+  // the watch began.
+  call_ = pacing_.is_pushed() ? Call::complete_list : Call::watch;
+  complete_list_at_ms_ = pacing_.is_pushed() ? DueTimes::none : now_ms_ + pacing_.complete_list_delay_ms();
   pacing_.record_success();
   connect();
 }
@@ -73,8 +74,8 @@
 void DiscoveryClient::deadline_reached() {
   bool line_overdue = line_overdue_at_deadline_;
   clear_deadline();
-  if (line_overdue && !pacing_.pushed()) return replace_silent_watch();
-  if (state_ != State::disconnected && !reread_needed_) return fail(DiscoveryError::watch_timed_out);
+  if (line_overdue && !pacing_.is_pushed()) return replace_silent_watch();
+  if (state_ != State::disconnected && !needs_reread_) return fail(DiscoveryError::watch_timed_out);
   reconnect();
 }
 
@@ -89,21 +90,21 @@
   if (!fd) return fail(DiscoveryError::connect_failed, {.system_error = errno});
   stream_ = std::make_unique<Stream>(loop_, pool_, std::move(fd), *this);
   state_ = State::connecting;
-  set_deadline_in(pacing_.answer_limit_ms());
+  set_deadline_in(pacing_.call_timeout_ms());
 }
 
 void DiscoveryClient::ready(std::uint32_t events) {
-  if (state_ != State::receiving && !connected(events)) return;
+  if (state_ != State::receiving && !finish_connect(events)) return;
   if (!stream_->flush()) return fail(DiscoveryError::connection_broken);
   while (true) {
     auto got = stream_->fill();
     if (got == Stream::Got::nothing) return;
     if (got != Stream::Got::bytes) return fail(DiscoveryError::connection_closed);
-    if (!response_received()) return;
+    if (!process_response()) return;
   }
 }
 
-bool DiscoveryClient::connected(std::uint32_t events) {
+bool DiscoveryClient::finish_connect(std::uint32_t events) {
   if (!(events & (EPOLLOUT | EPOLLERR | EPOLLHUP))) return false;
   if (int error = stream_->dial_error()) {
     fail(DiscoveryError::connect_failed, {.system_error = error});
@@ -119,15 +120,15 @@
   response_.reset();
   watch_reader_ = {};
   complete_list_.clear();
-  reread_needed_ = false;
+  needs_reread_ = false;
   called_at_ms_ = now_ms_;
-  renew_at_ms_ = now_ms_ + pacing_.first_line_limit_ms();
+  renew_at_ms_ = now_ms_ + pacing_.first_line_timeout_ms();
   std::string target(protocol::names::endpoint_list);
   if (call_ == Call::watch) target.append("?watch=1&after=").append(std::to_string(last_version_));
   return protocol::write_get(stream_->out(), agent_->text(), target);
 }
 
-bool DiscoveryClient::response_received() {
+bool DiscoveryClient::process_response() {
   bool head_is_new = !response_.head_complete();
   stream_->consume(response_.feed(stream_->bytes()));
   if (response_.fault() != protocol::Fault::none) {
@@ -140,30 +141,31 @@
          {.status = response_.status(), .retry_after_ms = retry_after_ms(response_)});
     return false;
   }
-  if (!body_received(head_is_new)) return false;
-  return !response_.complete() || response_ended();
+  if (!process_body(head_is_new)) return false;
+  return !response_.complete() || process_response_end();
 }
 
-// Only a head or a complete line extends the watch's deadline: an agent that never ends a line is
-// unresponsive.
-bool DiscoveryClient::body_received(bool head_is_new) {
+// Only a response head or a complete line extends the watch's deadline: an agent that never ends a line
+// counts as unresponsive.
+bool DiscoveryClient::process_body(bool head_is_new) {
   if (call_ == Call::complete_list) {
     complete_list_ += response_.extract_body();
-    set_deadline_in(std::min(pacing_.answer_limit_ms(), called_at_ms_ + max_complete_list_ms - now_ms_));
+    set_deadline_in(std::min(pacing_.call_timeout_ms(), called_at_ms_ + max_complete_list_ms - now_ms_));
     if (complete_list_.size() <= max_list_bytes) return true;
     fail(DiscoveryError::list_too_long);
     return false;
   }
-  if (head_is_new) set_deadline_in(pacing_.first_line_limit_ms());
-  for (auto& event : watch_reader_.feed(response_.extract_body())) watch_event(std::move(event));
-  if (!renewal_due()) return true;
-  if (complete_list_due()) call_ = Call::complete_list;
+  if (head_is_new) set_deadline_in(pacing_.first_line_timeout_ms());
+  for (auto& event : watch_reader_.feed(response_.extract_body())) handle_watch_event(std::move(event));
+  if (!is_renewal_due()) return true;
+  if (is_complete_list_due()) call_ = Call::complete_list;
   reconnect();
   return false;
 }
 
-// After the complete list the watch continues from its version. A watch's response has no regular end.
-bool DiscoveryClient::response_ended() {
+// After a complete list the client opens a watch from the version of that list. The response to a watch has
+// no regular end, so the end of a watch is a failure.
+bool DiscoveryClient::process_response_end() {
   if (call_ == Call::watch) {
     fail(DiscoveryError::watch_ended);
     return false;
@@ -176,7 +178,7 @@
   }
   auto& list = std::get<protocol::EndpointList>(parsed);
   list.full = true;
-  list_received(std::move(list));
+  handle_list(std::move(list));
   call_ = Call::watch;
   complete_list_at_ms_ = DueTimes::none;
   if (!response_.keep_alive()) {
@@ -190,41 +192,41 @@
 
 // --- Watch events ----------------------------------------------------------------------------------------
 
-void DiscoveryClient::watch_event(protocol::WatchEvent&& event) {
+void DiscoveryClient::handle_watch_event(protocol::WatchEvent&& event) {
   if (auto* list = std::get_if<protocol::EndpointList>(&event))
-    list_received(std::move(*list));
+    handle_list(std::move(*list));
   else if (auto* unreadable = std::get_if<protocol::UnreadableEndpointList>(&event))
     request_reread(unreadable->reason);
   else if (std::holds_alternative<protocol::EndpointListIncomplete>(event))
-    set_deadline_in(pacing_.reread_limit_ms());
-  else if (!reread_needed_) {
-    set_deadline_in(pacing_.silence_limit_ms(now_ms_));
+    set_deadline_in(pacing_.reread_delay_ms());
+  else if (!needs_reread_) {
+    set_deadline_in(pacing_.silence_timeout_ms(now_ms_));
     line_overdue_at_deadline_ = true;
   }
 }
 
-void DiscoveryClient::list_received(protocol::EndpointList&& list) {
+void DiscoveryClient::handle_list(protocol::EndpointList&& list) {
   for (const auto& reason : list.skipped) log_skipped_entry(list.seq, reason);
-  count_list();
+  record_list();
   pacing_.record_success();
-  renew_at_ms_ = now_ms_ + pacing_.first_line_limit_ms();
-  // A version below the requested one shows that the new agent counts its own versions.
+  renew_at_ms_ = now_ms_ + pacing_.first_line_timeout_ms();
+  // A version below the requested one shows that the new agent counts versions independently.
   bool complete_list_pending = complete_list_at_ms_ < DueTimes::none;
   if (call_ == Call::watch && complete_list_pending && list.seq < last_version_)
     complete_list_at_ms_ = now_ms_;
-  if (!reread_needed_) {
-    if (list.seq != last_version_) rereads_ = 0;
+  if (!needs_reread_) {
+    if (list.seq != last_version_) reread_count_ = 0;
     last_version_ = list.seq;
   }
   updates_.emplace_back(std::move(list));
 }
 
-// The unreadable line may hold a drain, so the watch is reopened from the last readable version. Repeats are
-// rate-limited, because the agent may send the same line each time.
+// The unreadable line may contain a drain, so the watch is reopened from the last readable version. Repeated
+// requests are rate-limited, because the agent may send the same line each time.
 void DiscoveryClient::request_reread(const std::string& reason) {
-  if (call_ == Call::watch && !reread_needed_)
-    set_deadline_in(rereads_++ == 0 ? pacing_.reread_limit_ms() : repeated_reread_ms);
-  reread_needed_ = true;
+  if (call_ == Call::watch && !needs_reread_)
+    set_deadline_in(reread_count_++ == 0 ? pacing_.reread_delay_ms() : repeated_reread_interval_ms);
+  needs_reread_ = true;
   std::string call = call_ == Call::watch ? "watch" : "complete list";
   log_(Level::warning,
        "discovery " + call + " unreadable after version " + std::to_string(last_version_) + ": " + reason,
@@ -233,10 +235,11 @@
         {"reason", std::string_view(reason)}});
 }
 
-// Ends a live watch for the complete list. A pushed watch without a new list for the silence limit is
-// reopened too, because a drain binds as soon as the agent knows of it.
-bool DiscoveryClient::renewal_due() const {
-  return complete_list_due() || (pacing_.pushed() && now_ms_ >= renew_at_ms_);
+// Whether an open watch is replaced: by the call for the complete list, or, for a pushed watch, by a new
+// watch after too long a time without a list. A pushed drain takes effect as soon as the agent knows of it,
+// so the client must not rely on a watch that may have missed the drain.
+bool DiscoveryClient::is_renewal_due() const {
+  return is_complete_list_due() || (pacing_.is_pushed() && now_ms_ >= renew_at_ms_);
 }
 
 // --- Deadlines and failures ------------------------------------------------------------------------------
@@ -276,7 +279,7 @@
   log_failure(error, detail);
   close();
   // A complete list that fails must not delay the watch on changes.
-  if (call_ == Call::complete_list && !pacing_.pushed()) {
+  if (call_ == Call::complete_list && !pacing_.is_pushed()) {
     call_ = Call::watch;
     complete_list_at_ms_ = now_ms_ + pacing_.complete_list_delay_ms();
   }
@@ -285,14 +288,14 @@
   updates_.emplace_back(WatchFailed{error});
 }
 
-void DiscoveryClient::count_list() {
+void DiscoveryClient::record_list() {
   ++counters_.lists;
   if (counters_.first_list_after_ms) return;
   counters_.first_list_after_ms = now_ms_ - started_at_ms_;
   log_first_list();
 }
 
-// Tells a late first call from calls that discovery did not serve.
+// Shows whether the first list was late because of a late first call or because discovery failed calls.
 void DiscoveryClient::log_first_list() const {
   if (!log_.wants(Level::info)) return;
   double call_ms = counters_.first_call_after_ms.value_or(0);
@@ -310,9 +313,9 @@
         {"failed", static_cast<double>(counters_.failed)}});
 }
 
-// Only the first failure in a row is logged at info.
+// Logs the first of consecutive failures at info, the others at debug.
 void DiscoveryClient::log_failure(DiscoveryError error, const DiscoveryErrorDetail& detail) const {
-  Level level = pacing_.failed_before() ? Level::debug : Level::info;
+  Level level = pacing_.has_failed() ? Level::debug : Level::info;
   if (!log_.wants(level)) return;
   auto message = message_of(error, detail);
   log_(level, message,
--- a/src/proxy/discovery/client.hpp
+++ b/src/proxy/discovery/client.hpp
@@ -1,5 +1,5 @@
-// The discovery client: watches the endpoint list and reopens a watch that fails. The last list stays in use
-// meanwhile.
+// The discovery client: watches the endpoint list and reopens a watch that fails. The last received list
+// stays in use until then.
 #pragma once
 
 #include <cstdint>
@@ -21,80 +21,80 @@
 
 namespace meadowgauge::proxy {
 
-// A call failed, was refused or timed out, or the watch ended.
+// Reported when a call failed, was refused or timed out, or when the watch ended.
 struct WatchFailed {
   DiscoveryError error;
 };
 using DiscoveryUpdate = std::variant<protocol::EndpointList, WatchFailed>;
 
-// Makes one call at a time on one connection: for the complete list, or for the watch on changes. Times are
-// in milliseconds.
+// Makes one call at a time, for the complete list or for a watch on changes. Times are in ms of the loop
+// turn's clock. Failures do not throw: the client reports them in updates() and calls again after a backoff.
 class DiscoveryClient final : public transport::Ready {
  public:
   static constexpr std::uint8_t due_kind = 3;
 
-  // All of these outlive the client.
+  // All parts outlive the client.
   struct Parts {
     transport::Loop& loop;
     transport::Pool& pool;
     transport::DueTimes& due_times;
-    const double& now_ms;  // the clock reading of the loop's turn
+    const double& now_ms;  // time of the loop turn
   };
 
-  // `agent`: discovery's address; without one the client is inactive.
-  // `last_version`: of the list that the process starts with.
+  // `agent`: address of the discovery server or of its local agent; the client is inactive without an
+  // address. `last_version`: version of the list that the process starts with.
   DiscoveryClient(const Parts& parts, std::optional<transport::Address> agent, std::int64_t last_version,
-                  std::uint64_t seed, Logger log, const WatchTerms& terms);
+                  std::uint64_t seed, Logger log, const WatchPacingSettings& pacing_settings);
   ~DiscoveryClient();
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  // Opens the first watch: at once, or after a random delay in a large fleet that polls.
+  // Opens the first watch: at once, or at the balancer's place in the frame in a large fleet that polls.
   void start();
-  // Moves the watch to `agent`, or stops it without one. A pushed agent's complete list is fetched first. A
-  // polled watch continues from the last version; the complete list follows after a random delay, or at once
-  // if the agent's versions are lower.
+  // Moves the watch to `agent`; stops the watch if `agent` is absent. Where lists are pushed, the complete
+  // list is fetched first. A polled watch continues from the last version, and the complete list is fetched
+  // after a random delay, or at once if the new agent's versions are lower.
   void set_agent(std::optional<transport::Address> agent);
-  // To be called at the time that the client has registered in `due_times`.
+  // Handles the due time that the client has registered in `due_times`.
   void deadline_reached();
-  // Destroys connections that were closed in this turn of the loop.
+  // Destroys the connections that were closed in this loop turn.
   void destroy_closed() { closed_.clear(); }
 
-  // Updates in order of arrival; the caller empties the list.
+  // Updates in order of arrival; the caller clears them.
   [[nodiscard]] std::vector<DiscoveryUpdate>& updates() { return updates_; }
   [[nodiscard]] const DiscoveryCallCounters& counters() const { return counters_; }
 
  private:
   enum class Call : std::uint8_t { complete_list, watch };
   enum class State : std::uint8_t {
-    disconnected,  // the deadline is that of the next call
+    disconnected,  // the deadline is the time of the next call
     connecting,
-    receiving,  // the request is sent; the deadline is that of the agent's next line
+    receiving,  // the request is sent; the deadline is the latest time of the agent's next line
   };
 
   void ready(std::uint32_t events) override;
   void connect();
-  bool connected(std::uint32_t events);
+  bool finish_connect(std::uint32_t events);
   bool send_request();
-  // This and the next two return false once the connection is closed or replaced.
-  bool response_received();
-  bool body_received(bool head_is_new);
-  bool response_ended();
+  // The next three functions return false if the connection was closed or replaced.
+  bool process_response();
+  bool process_body(bool head_is_new);
+  bool process_response_end();
 
-  void watch_event(protocol::WatchEvent&& event);
-  void list_received(protocol::EndpointList&& list);
+  void handle_watch_event(protocol::WatchEvent&& event);
+  void handle_list(protocol::EndpointList&& list);
   void request_reread(const std::string& reason);
-  [[nodiscard]] bool complete_list_due() const { return now_ms_ >= complete_list_at_ms_; }
-  [[nodiscard]] bool renewal_due() const;
+  [[nodiscard]] bool is_complete_list_due() const { return now_ms_ >= complete_list_at_ms_; }
+  [[nodiscard]] bool is_renewal_due() const;
 
   void set_deadline_in(double ms);
   void clear_deadline();
   void close();
   void reconnect();
-  // Calls again at once: the deadline of the watch's next line was at the balancer's place.
+  // Opens a new watch at once: the timeout of a silent watch already ends at the balancer's place.
   void replace_silent_watch();
   void fail(DiscoveryError error, const DiscoveryErrorDetail& detail = {});
-  void count_list();
+  void record_list();
   void log_failure(DiscoveryError error, const DiscoveryErrorDetail& detail) const;
   void log_first_list() const;
   void log_skipped_entry(std::int64_t version, const std::string& reason) const;
@@ -113,17 +113,17 @@
   std::unique_ptr<transport::Stream> stream_;
   std::vector<std::unique_ptr<transport::Stream>> closed_;
   State state_ = State::disconnected;
-  Call call_ = Call::watch;  // in progress, or the next one
+  Call call_ = Call::watch;  // the call in progress, or the next call
 
   protocol::Message response_;
   std::string complete_list_;  // the part received so far
   protocol::WatchReader watch_reader_;
-  bool line_overdue_at_deadline_ = false;  // the deadline is that of the line after the watch's last one
-  bool reread_needed_ = false;             // the last call received an unreadable line
-  int rereads_ = 0;                        // consecutive, from the same version
+  bool line_overdue_at_deadline_ = false;  // the deadline is the latest time of the watch's next line
+  bool needs_reread_ = false;              // the present call received an unreadable line
+  int reread_count_ = 0;                   // consecutive, from the same version
   double called_at_ms_ = 0;
-  double renew_at_ms_ = 0;                                  // reopens a pushed watch; postponed by each list
-  double complete_list_at_ms_ = transport::DueTimes::none;  // interrupts the watch for the complete list
+  double renew_at_ms_ = 0;  // when a pushed watch is reopened; postponed by each list
+  double complete_list_at_ms_ = transport::DueTimes::none;  // when the watch is replaced by a complete list
   double deadline_ms_ = transport::DueTimes::none;
   std::vector<DiscoveryUpdate> updates_;
 };
--- a/src/proxy/discovery/error.hpp
+++ b/src/proxy/discovery/error.hpp
@@ -1,4 +1,4 @@
-// Why a call to discovery failed, and the log's text for each reason.
+// Reasons for a failed call to discovery, with their texts for the log.
 #pragma once
 
 #include <cstdint>
@@ -7,6 +7,7 @@
 
 namespace meadowgauge::proxy {
 
+// Why a call or a watch failed.
 enum class DiscoveryError : std::uint8_t {
   connect_failed,
   connection_broken,
@@ -20,15 +21,16 @@
   watch_ended,
 };
 
-// What the peer or the system reported beside the error; 0 where there is nothing.
+// Details of a failure from the agent or the operating system; each is 0 if not applicable.
 struct DiscoveryErrorDetail {
-  int system_error = 0;
-  int status = 0;
+  int system_error = 0;       // errno value
+  int status = 0;             // HTTP status
   double retry_after_ms = 0;  // requested by the agent
 };
 
+// The error's text without details.
 std::string_view text_of(DiscoveryError error);
-// The text with the system's error or the status behind it.
+// The error's text, followed by the system error or the HTTP status.
 std::string message_of(DiscoveryError error, const DiscoveryErrorDetail& detail);
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/discovery/initial_list.cpp
+++ b/src/proxy/discovery/initial_list.cpp
@@ -6,7 +6,8 @@
 namespace meadowgauge::proxy {
 namespace {
 
-// An overloaded discovery must not keep a restarted fleet from serving for longer.
+// Maximum wait for the first list: an overloaded discovery must not prevent a restarted fleet from serving
+// for longer than this.
 constexpr double max_wait_ms = 8000;
 
 }  // namespace
--- a/src/proxy/request/forwarder.cpp
+++ b/src/proxy/request/forwarder.cpp
@@ -27,9 +27,9 @@
 constexpr AttemptId probe_bit = AttemptId{1} << 55;
 
 AttemptId attempt_id(RequestNumber number, int attempt) {
-  return to_integer(number) << attempt_bits | static_cast<AttemptId>(attempt);
+  return to_integer(number) << attempt_number_bits | static_cast<AttemptId>(attempt);
 }
-RequestNumber request_number_of(AttemptId id) { return RequestNumber{id >> attempt_bits}; }
+RequestNumber request_number_of(AttemptId id) { return RequestNumber{id >> attempt_number_bits}; }
 
 // The HTTP status of the final response if the last attempt had this outcome.
 int failure_status(Outcome outcome) {
@@ -222,7 +222,7 @@
 // retried.
 void RequestForwarder::response_started(AttemptEvent& event) {
   auto number = request_number_of(event.attempt);
-  int attempt = attempt_of(event.attempt);
+  int attempt = attempt_number_of(event.attempt);
   auto client = unanswered_client(number);
   if (!client || !requests_.is_open(number)) return cancel_attempt(number, attempt);
   auto& request = in_flight_.at(number);
@@ -251,7 +251,7 @@
   if (request_filter_ && succeeded && event.endpoint != no_endpoint)
     request_filter_->record_success(endpoints_.server_id(event.endpoint));
   auto number = request_number_of(event.attempt);
-  int attempt = attempt_of(event.attempt);
+  int attempt = attempt_number_of(event.attempt);
   if (!succeeded && event.endpoint != no_endpoint) log_failed_attempt(number, attempt, event);
   bool open = requests_.is_open(number);
   bool streaming = false;
--- a/src/proxy/upstream/attempt.cpp
+++ b/src/proxy/upstream/attempt.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-// Maximum time between two bytes of a streamed response that is not paused.
+// Maximum time between two received parts of a streamed response that is not paused.
 constexpr double stream_stall_ms = 10000;
-// A streamed response that would fit in the buffer is due at its request's deadline. A growing response may
-// turn out larger: it gets `late_byte_ms` from byte to byte, up to `max_late_ms` past the deadline.
-constexpr double late_byte_ms = 200;
-constexpr double max_late_ms = 400;
+// A streamed response that fits in the buffer is due at its request's deadline. After the deadline the
+// response may still grow beyond the buffer, so it may continue with gaps of up to `max_late_byte_gap_ms`
+// between received bytes, until `max_lateness_ms` past the deadline.
+constexpr double max_late_byte_gap_ms = 200;
+constexpr double max_lateness_ms = 400;
 
 }  // namespace
 
@@ -46,23 +47,23 @@
   phase_ = Phase::streaming_response;
 }
 
-// `send_by_ms` bounds an unsent attempt: sent after the window of its idempotency key, the request could run
-// a second time.
-double UpstreamAttempt::give_up_at_ms() const {
+// An unsent attempt times out at `send_by_ms`: after the window of its idempotency key the endpoint could
+// execute the request a second time.
+double UpstreamAttempt::timeout_at_ms() const {
   if (is_sent()) return deadlines_.limit_at_ms;
   double sent_by_ms = std::min(deadlines_.limit_at_ms, deadlines_.send_by_ms);
   return awaits_connection() ? std::min(sent_by_ms, deadlines_.connect_by_ms) : sent_by_ms;
 }
 
-// Bounds small responses by the deadline: a corrupted response of unknown length may never end, and
-// `stream_stall_ms` alone would keep the client waiting.
-double UpstreamAttempt::stall_at_ms(double now_ms, bool large) const {
+// Responses that fit in the buffer are bounded by the deadline, because a corrupted response of unknown
+// length may never end and `stream_stall_ms` alone would keep its client waiting.
+double UpstreamAttempt::stall_timeout_at_ms(double now_ms, bool large) const {
   if (phase_ == Phase::response_paused) return transport::DueTimes::none;
-  double stall_at_ms = now_ms + stream_stall_ms;
-  if (large || response_bytes_ > protocol::max_buffered_body) return stall_at_ms;
+  double stall_timeout_at_ms = now_ms + stream_stall_ms;
+  if (large || response_bytes_ > protocol::max_buffered_body) return stall_timeout_at_ms;
   double complete_by_ms =
-      std::clamp(now_ms + late_byte_ms, response_due_at_ms_, response_due_at_ms_ + max_late_ms);
-  return std::min(stall_at_ms, complete_by_ms);
+      std::clamp(now_ms + max_late_byte_gap_ms, response_due_at_ms_, response_due_at_ms_ + max_lateness_ms);
+  return std::min(stall_timeout_at_ms, complete_by_ms);
 }
 
 bool UpstreamAttempt::is_never_sent(double now_ms) const {
--- a/src/proxy/upstream/broken_invariant.cpp
+++ b/src/proxy/upstream/broken_invariant.cpp
@@ -13,15 +13,15 @@
     case UpstreamInvariant::attempt_only_in_flight:
       return "a connection has an attempt if and only if it is in flight";
     case UpstreamInvariant::open_connections_counted:
-      return "the counter of an endpoint's connections is right";
+      return "the counter of an endpoint's open connections is correct";
     case UpstreamInvariant::dials_counted:
-      return "the counter of an endpoint's dials is right";
+      return "the counter of an endpoint's dials is correct";
     case UpstreamInvariant::idle_connections_kept:
       return "an endpoint's list of idle connections is complete";
     case UpstreamInvariant::kept_connection_idle:
       return "an endpoint's list of idle connections has only its own idle connections";
     case UpstreamInvariant::idle_connections_ordered_by_age:
-      return "idle connections are in the order of their ages";
+      return "idle connections are ordered by age";
     case UpstreamInvariant::attempt_due_unless_paused:
       return "an attempt has a due time if and only if its response is not paused";
     case UpstreamInvariant::attempt_owns_its_connection:
--- a/src/proxy/upstream/broken_invariant.hpp
+++ b/src/proxy/upstream/broken_invariant.hpp
@@ -8,6 +8,7 @@
 
 namespace meadowgauge::proxy {
 
+// One invariant each; description() states it.
 enum class UpstreamInvariant : std::uint8_t {
   endpoint_slots_consistent,
   connection_keyed_by_id,
@@ -25,12 +26,13 @@
   connection_in_flight_has_attempt
 };
 
-// A sentence that holds as long as the invariant does.
+// The invariant as a sentence.
 std::string_view description(UpstreamInvariant invariant);
 
+// A violated invariant, as reported by Upstreams and ConnectionPool.
 struct BrokenUpstreamInvariant {
   UpstreamInvariant invariant = UpstreamInvariant::endpoint_slots_consistent;
-  std::string detail = {};  // empty, or what EndpointSlots reports
+  std::string detail = {};  // the violated invariant of EndpointSlots, or empty
 
   bool operator==(const BrokenUpstreamInvariant&) const = default;
 };
--- a/src/proxy/upstream/connection.hpp
+++ b/src/proxy/upstream/connection.hpp
@@ -1,4 +1,4 @@
-// One connection to an endpoint: its state, and the response that is read from it.
+// One connection to an endpoint: its state, and the response that is read from the connection.
 #pragma once
 
 #include <cstdint>
@@ -16,22 +16,23 @@
 // Handles the socket events of a connection.
 class UpstreamConnectionHandler {
  public:
-  // `events`: epoll's. May close the connection; the object lives until the end of the loop turn.
+  // `events`: epoll event bits. May close the connection; the object lives until the end of the loop turn.
   virtual void connection_ready(UpstreamConnection& connection, std::uint32_t events) = 0;
 
  protected:
   ~UpstreamConnectionHandler() = default;
 };
 
-// Owns the socket, and the response until take_response(). Times are in ms of the loop turn's clock.
+// Owns the socket, and the response until take_response() transfers it. Times are in ms of the loop turn's
+// clock.
 class UpstreamConnection final : transport::Ready {
  public:
   enum class State : std::uint8_t {
     dialling,   // connecting
     idle,       // connected, without an attempt
     in_flight,  // serves an attempt
-    // After a response, not reused yet: surplus bytes that arrive late would be read as the response to the
-    // next request.
+    // A response is complete, but the connection is not reused yet: surplus bytes that arrive late would be
+    // read as the response to the next request.
     settling,
     closed
   };
@@ -42,8 +43,8 @@
     transport::Pool& buffers;
     UpstreamConnectionHandler& handler;
   };
-  // A dial in progress. `generation`: the endpoint's in EndpointSlots. Throws std::system_error if epoll
-  // refuses the descriptor.
+  // Takes over a dial in progress. `generation`: the endpoint's generation in EndpointSlots. Throws
+  // std::system_error if epoll refuses the descriptor.
   UpstreamConnection(const Parts& parts, ConnectionId id, EndpointIndex endpoint, int generation,
                      transport::Fd fd)
       : buffers_(parts.buffers),
@@ -65,29 +66,29 @@
   // Transitions.
   // From dialling or settling.
   void become_idle();
-  // From idle: assigns the attempt, and prepares to read its response.
+  // From idle: assigns the attempt and creates the message for its response.
   void begin_attempt(AttemptId attempt, double now_ms);
   // From in_flight, after take_response().
   void settle();
-  // From any state: closes the socket. The response stays until the connection is destroyed.
+  // From any state: closes the socket. The response is kept until the connection is destroyed.
   void close();
 
-  // The response to the attempt in flight, as far as it is received.
+  // The received part of the response to the attempt in flight.
   [[nodiscard]] protocol::Message& response() { return *response_; }
   [[nodiscard]] const SharedMessage& shared_response() const { return response_; }
-  // Transfers the response to the caller; begin_attempt() creates the next.
+  // Transfers the response to the caller; begin_attempt() creates the next one.
   SharedMessage take_response() { return std::move(response_); }
-  // When the head of a buffered response of unknown length was complete, in ms; 0: no such response.
+  // When the head of a buffered response of unknown length was complete; 0 without such a response.
   [[nodiscard]] double response_head_at_ms() const { return response_head_at_ms_; }
   void set_response_head_at_ms(double at_ms) { response_head_at_ms_ = at_ms; }
 
-  // Set when the connection is kept in the pool.
+  // The time since which the connection is idle in the pool.
   void set_idle_since_ms(double now_ms) { idle_since_ms_ = now_ms; }
   [[nodiscard]] double idle_since_ms() const { return idle_since_ms_; }
   // Idle time before the attempt in flight.
   [[nodiscard]] double idle_before_attempt_ms() const { return idle_before_attempt_ms_; }
 
-  // The due time of dialling or settling that the owner has set in DueTimes.
+  // The end of dialling or settling that the owner has registered in DueTimes.
   [[nodiscard]] double& due_ms() { return due_ms_; }
 
  private:
--- a/src/proxy/upstream/connection_pool.cpp
+++ b/src/proxy/upstream/connection_pool.cpp
@@ -27,8 +27,8 @@
 
 void ConnectionPool::reset_endpoint(EndpointIndex endpoint) {
   auto index = position_of(endpoint);
-  if (index >= by_endpoint_.size()) by_endpoint_.resize(index + 1);
-  by_endpoint_[index] = {};
+  if (index >= endpoint_counters_.size()) endpoint_counters_.resize(index + 1);
+  endpoint_counters_[index] = {};
 }
 
 UpstreamConnection* ConnectionPool::find(ConnectionId id) const {
@@ -44,9 +44,9 @@
   const auto& address = endpoints_.dial_address(endpoint);
   if (!address) return false;
   while (connections_.size() >= settings_.max_connections)
-    if (!shed()) return false;
+    if (!evict_one()) return false;
   auto fd = Stream::dial(*address);
-  while (!fd && errno == EMFILE && (shed() || free_descriptor_())) fd = Stream::dial(*address);
+  while (!fd && errno == EMFILE && (evict_one() || free_descriptor_())) fd = Stream::dial(*address);
   if (!fd) {
     log_dial_failed(endpoint, errno);
     return false;
@@ -70,13 +70,13 @@
 }
 
 void ConnectionPool::dial_succeeded(UpstreamConnection& connection) {
-  received_from(connection.endpoint());
+  record_activity(connection.endpoint());
   --counters(connection.endpoint()).dialling;
   set_due(connection, DueTimes::none);
   connection.become_idle();
 }
 
-// Asks the socket as well: an end that arrived together with the response raises no further event.
+// Also checks the socket: a close that arrived together with the response raises no further event.
 bool ConnectionPool::is_usable(const UpstreamConnection& connection) const {
   return connection.generation() == endpoints_.generation(connection.endpoint()) &&
          connection.stream().quiet();
@@ -90,8 +90,8 @@
       close(connection);
       continue;
     }
-    // Older connections stay in the pool, unused: IdleTimeoutEstimator learns from how they end.
-    if (now_ms_ - idle.back().since_ms >= idle_timeout_.usable_ms(now_ms_)) return nullptr;
+    // Older connections stay in the pool unused: IdleTimeoutEstimator records when endpoints close them.
+    if (now_ms_ - idle.back().since_ms >= idle_timeout_.max_reuse_idle_ms(now_ms_)) return nullptr;
     idle.pop_back();
     return &connection;
   }
@@ -109,7 +109,7 @@
   set_due(connection, now_ms_ + settings_.settle_ms);
 }
 
-void ConnectionPool::settled(UpstreamConnection& connection) {
+void ConnectionPool::finish_settling(UpstreamConnection& connection) {
   set_due(connection, DueTimes::none);
   connection.become_idle();
 }
@@ -140,27 +140,27 @@
 }
 
 // A silent endpoint may have lost its idle connections without closing them. The first request written to
-// such a connection is reset, and a non-idempotent request can't be retried then.
+// such a connection is reset, and a non-idempotent request cannot be retried after a reset.
 void ConnectionPool::close_idle_if_silent(EndpointIndex endpoint, double since_ms) {
-  if (counters(endpoint).last_received_ms <= since_ms) close_idle(endpoint);
+  if (counters(endpoint).last_activity_ms <= since_ms) close_idle(endpoint);
 }
 
 void ConnectionPool::close_expired() {
   double expires_after_ms = idle_timeout_.close_after_ms();
-  for (auto& endpoint : by_endpoint_)
+  for (auto& endpoint : endpoint_counters_)
     while (!endpoint.idle.empty() && now_ms_ - endpoint.idle.front().since_ms >= expires_after_ms)
       close(at(endpoint.idle.front().id));
 }
 
 void ConnectionPool::set_max_connections(std::size_t max_connections) {
   settings_.max_connections = max_connections;
-  while (connections_.size() > max_connections && shed()) {
+  while (connections_.size() > max_connections && evict_one()) {
   }
 }
 
-bool ConnectionPool::shed() {
+bool ConnectionPool::evict_one() {
   const IdleConnection* oldest = nullptr;
-  for (const auto& endpoint : by_endpoint_)
+  for (const auto& endpoint : endpoint_counters_)
     if (!endpoint.idle.empty() && (!oldest || endpoint.idle.front().since_ms < oldest->since_ms))
       oldest = &endpoint.idle.front();
   UpstreamConnection* candidate = oldest ? &at(oldest->id) : nullptr;
@@ -180,7 +180,7 @@
     if ((connection->state() == State::in_flight) != (connection->attempt() != 0))
       return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::attempt_only_in_flight};
   }
-  for (std::size_t i = 0; i < by_endpoint_.size(); ++i)
+  for (std::size_t i = 0; i < endpoint_counters_.size(); ++i)
     if (auto broken = broken_invariant(static_cast<EndpointIndex>(i))) return broken;
   return {};
 }
--- a/src/proxy/upstream/exchange.cpp
+++ b/src/proxy/upstream/exchange.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-// Reads of one connection per loop turn, for fairness.
-constexpr int reads_per_turn = 8;
-// A response of unknown length streams after this time, even if the buffer is not full.
+// Bounds the reads from one connection per loop turn, so that other connections are served as well.
+constexpr int max_reads_per_turn = 8;
+// A response of unknown length starts to stream after this time, even if the buffer is not full.
 constexpr double max_held_ms = 200;
 
 constexpr int status_ok = 200;
@@ -29,7 +29,7 @@
   return response.complete() && response.status() < status_ok;
 }
 
-// Malformed, or larger than the buffer without being allowed to stream.
+// Whether the response is malformed, or exceeds the buffer and may not stream.
 bool is_invalid(const Message& response, const UpstreamAttempt& attempt) {
   if (response.fault() != protocol::Fault::none) return true;
   bool may_stream = response.status() == status_ok && !attempt.is_health_check() && attempt.is_sent();
@@ -53,7 +53,7 @@
   auto& [id, attempt] = *entry;
   connection.begin_attempt(id, now_ms_);
   attempt.connected(connection.id());
-  set_due(entry, attempt.give_up_at_ms());
+  set_due(entry, attempt.timeout_at_ms());
   const auto& address = endpoints_.dial_address(attempt.endpoint());
   const auto& host = address ? address->text() : endpoints_.name(attempt.endpoint());
   auto& out = connection.stream().out();
@@ -65,18 +65,18 @@
   if (!send_pending(connection, entry)) connection_broken(connection, entry);
 }
 
-// False: the connection broke, or the request may no longer be sent and is not whole at the endpoint.
+// False: the connection broke, or the rest of the request may no longer be sent.
 bool Upstreams::send_pending(UpstreamConnection& connection, AttemptEntry entry) {
   using SendResult = UpstreamRequest::SendResult;
   auto& [id, attempt] = *entry;
   if (!attempt.is_sent() && !may_send(attempt)) return false;
   auto result = attempt.request().send(connection.stream());
-  if (result == SendResult::drained)
+  if (result == SendResult::body_drained)
     events_.push_back(
         {.kind = AttemptEvent::Kind::request_body_drained, .attempt = id, .endpoint = attempt.endpoint()});
   if (result == SendResult::sent && !attempt.is_sent()) {
     attempt.request_sent();
-    set_due(entry, attempt.give_up_at_ms());
+    set_due(entry, attempt.timeout_at_ms());
     if (!attempt.is_health_check()) {
       ++requests_sent_;
       log_request_sent(id, attempt);
@@ -85,17 +85,17 @@
   return result != SendResult::broken;
 }
 
-// From the last byte on the endpoint may have executed the request.
+// Logged because the endpoint may have executed the request once its last byte is written.
 void Upstreams::log_request_sent(AttemptId id, const UpstreamAttempt& attempt) const {
   if (!log_.wants(Level::debug)) return;
   auto request_id = attempt.request().id();
   const auto& name = endpoints_.name(attempt.endpoint());
   double after_ms = now_ms_ - attempt.started_at_ms();
   log_(Level::debug,
-       std::string("request ").append(request_id) + ": attempt " + std::to_string(attempt_of(id)) +
+       std::string("request ").append(request_id) + ": attempt " + std::to_string(attempt_number_of(id)) +
            " sent to " + name + " to the last byte, " + rounded_ms(after_ms) + " after its start",
        {{"request_id", request_id},
-        {"attempt", static_cast<double>(attempt_of(id))},
+        {"attempt", static_cast<double>(attempt_number_of(id))},
         {"endpoint", name},
         {"after_ms", after_ms}});
 }
@@ -112,8 +112,8 @@
 // --- The response ----------------------------------------------------------------------------------------
 
 void Upstreams::read_response(UpstreamConnection& connection, AttemptEntry entry) {
-  for (int i = 0; i < reads_per_turn; ++i) {
-    if (!take_received(connection, entry)) return;
+  for (int i = 0; i < max_reads_per_turn; ++i) {
+    if (!parse_received(connection, entry)) return;
     auto got = connection.stream().fill();
     if (got == Stream::Got::nothing) return;
     if (got == Stream::Got::end && connection.response().close_delimited()) {
@@ -121,13 +121,13 @@
       return response_complete(connection, entry);
     }
     if (got != Stream::Got::bytes) return connection_broken(connection, entry);
-    connections_.received_from(connection.endpoint());
+    connections_.record_activity(connection.endpoint());
   }
-  if (take_received(connection, entry)) connection.stream().again(EPOLLIN);
+  if (parse_received(connection, entry)) connection.stream().again(EPOLLIN);
 }
 
 // Parses the received bytes of the response. False: the attempt is over, or the buffer is full.
-bool Upstreams::take_received(UpstreamConnection& connection, AttemptEntry entry) {
+bool Upstreams::parse_received(UpstreamConnection& connection, AttemptEntry entry) {
   auto& attempt = entry->second;
   if (attempt.phase() == UpstreamAttempt::Phase::response_paused) return false;
   auto& stream = connection.stream();
@@ -165,8 +165,8 @@
   return attempt.phase() != UpstreamAttempt::Phase::response_paused && !response.out_of_buffers();
 }
 
-// Streams a response whose head announces more than the buffer holds. A response of unknown length streams
-// later, see stream_held_responses().
+// Streams a response whose head announces a body that exceeds the buffer. stream_held_responses() streams
+// responses of unknown length later.
 void Upstreams::response_head_received(UpstreamConnection& connection, AttemptEntry entry) {
   const auto& attempt = entry->second;
   const auto& response = connection.response();
@@ -178,7 +178,7 @@
 }
 
 void Upstreams::stream_held_responses() {
-  connections_.each([this](UpstreamConnection& connection) {
+  connections_.for_each([this](UpstreamConnection& connection) {
     if (connection.state() != State::in_flight || connection.response_head_at_ms() <= 0) return;
     if (now_ms_ - connection.response_head_at_ms() < max_held_ms) return;
     if (connection.response().body_size() == 0) return;
@@ -192,7 +192,7 @@
   auto& [id, attempt] = *entry;
   attempt.stream_response();
   connection.set_response_head_at_ms(0);
-  set_due(entry, attempt.stall_at_ms(now_ms_, connection.response().exceeds_buffer()));
+  set_due(entry, attempt.stall_timeout_at_ms(now_ms_, connection.response().exceeds_buffer()));
   events_.push_back({.kind = AttemptEvent::Kind::response_started,
                      .attempt = id,
                      .endpoint = attempt.endpoint(),
@@ -202,7 +202,7 @@
 
 void Upstreams::response_progressed(UpstreamConnection& connection, AttemptEntry entry) {
   auto& [id, attempt] = *entry;
-  set_due(entry, attempt.stall_at_ms(now_ms_, connection.response().exceeds_buffer()));
+  set_due(entry, attempt.stall_timeout_at_ms(now_ms_, connection.response().exceeds_buffer()));
   events_.push_back(
       {.kind = AttemptEvent::Kind::response_progress, .attempt = id, .endpoint = attempt.endpoint()});
 }
@@ -214,7 +214,7 @@
   if (attempt.phase() != UpstreamAttempt::Phase::response_paused) return;
   attempt.resume_response();
   auto& connection = connections_.at(attempt.connection());
-  set_due(entry, attempt.stall_at_ms(now_ms_, connection.response().exceeds_buffer()));
+  set_due(entry, attempt.stall_timeout_at_ms(now_ms_, connection.response().exceeds_buffer()));
   read_response(connection, entry);
 }
 
@@ -224,12 +224,12 @@
   auto& attempt = entry->second;
   attempt.set_response_due_at_ms(at_ms);
   auto& connection = connections_.at(attempt.connection());
-  set_due(entry, attempt.stall_at_ms(now_ms_, connection.response().exceeds_buffer()));
+  set_due(entry, attempt.stall_timeout_at_ms(now_ms_, connection.response().exceeds_buffer()));
 }
 
-// --- Its end ---------------------------------------------------------------------------------------------
+// --- End of the response ---------------------------------------------------------------------------------
 
-// A sent request may have been executed.
+// Unless the request was sent, the endpoint cannot have executed it.
 void Upstreams::response_invalid(UpstreamConnection& connection, AttemptEntry entry) {
   bool sent = entry->second.is_sent();
   connections_.close(connection);
@@ -238,13 +238,14 @@
 
 void Upstreams::response_complete(UpstreamConnection& connection, AttemptEntry entry) {
   auto response = connection.take_response();
-  // A response before the request's last byte can't answer it: endpoints execute complete requests only.
+  // Endpoints execute complete requests only, so a response before the request's last byte is not its
+  // response.
   if (!entry->second.is_sent()) {
     connections_.close(connection);
     return complete(entry, Outcome::unreachable);
   }
   auto outcome = outcome_of(*response);
-  // With surplus bytes behind the response the message framing is uncertain: no reuse.
+  // Surplus bytes after the response make the message framing uncertain, so the connection is not reused.
   if (response->keep_alive() && connection.stream().bytes().empty() && connection.stream().quiet()) {
     connections_.settle(connection);
   } else {
--- a/src/proxy/upstream/idle_timeout_estimator.cpp
+++ b/src/proxy/upstream/idle_timeout_estimator.cpp
@@ -7,20 +7,22 @@
 
 namespace {
 
-// Share of the configured idle timeout; the rest covers the time in which a request could cross the
-// endpoint's close on the wire.
+// Share of the configured idle timeout for which connections are reused. The rest covers the time in which a
+// request and the endpoint's close could cross on the wire.
 constexpr double usable_share = 0.8;
-// Closes older than this are forgotten.
-constexpr double closes_kept_ms = 10000;
+// Older closes are discarded.
+constexpr double close_retention_ms = 10000;
 constexpr std::size_t max_closes = 32;
-// Ignores younger connections: an endpoint that closes right after a response is not enforcing an idle
-// timeout.
+// Closes after a shorter idle time are ignored: an endpoint that closes right after a response does not
+// enforce an idle timeout.
 constexpr double min_idle_ms = 50;
-// Closes that it takes to lower the timeout.
+// Number of closes required to lower the timeout.
 constexpr std::size_t min_closes = 5;
-// Endpoints that the closes must come from: a crashing endpoint closes all its connections at any age.
+// Number of endpoints that the closes must come from: a crashing endpoint closes all its connections at any
+// age.
 constexpr std::size_t min_endpoints = 3;
-// Share of the shortest observed idle time: some closes are lost on the wire, and they may come earlier.
+// Share of the shortest observed idle time for which connections are reused: closes that are lost on the wire
+// may have come after a shorter idle time.
 constexpr double unseen_close_share = 0.35;
 
 }  // namespace
@@ -31,10 +33,10 @@
   if (closes_.size() > max_closes) closes_.pop_front();
 }
 
-// Errs on the short side: a request on a connection that the endpoint has closed is reset, and can be retried
-// only if it is idempotent.
-double IdleTimeoutEstimator::usable_ms(double now_ms) {
-  while (!closes_.empty() && now_ms - closes_.front().at_ms > closes_kept_ms) closes_.pop_front();
+// Errs on the short side: a request on a connection that the endpoint has closed is reset, and only an
+// idempotent request can be retried after a reset.
+double IdleTimeoutEstimator::max_reuse_idle_ms(double now_ms) {
+  while (!closes_.empty() && now_ms - closes_.front().at_ms > close_retention_ms) closes_.pop_front();
   double configured_ms = close_after_ms();
   if (closes_.size() < min_closes) return configured_ms;
   std::vector<EndpointIndex> endpoints;
--- a/src/proxy/upstream/idle_timeout_estimator.hpp
+++ b/src/proxy/upstream/idle_timeout_estimator.hpp
@@ -1,5 +1,5 @@
-// Estimates how long a connection may be idle and still be reused: the configured idle timeout, or less if
-// endpoints close idle connections earlier. Does no I/O; all times are in ms of the caller's clock.
+// Estimates how long a connection may be idle and still be reused. Does no I/O; all times are in ms of the
+// caller's clock.
 #pragma once
 
 #include <deque>
@@ -8,16 +8,18 @@
 
 namespace meadowgauge::proxy {
 
+// The limit is a share of the configured idle timeout. If several endpoints have recently closed connections
+// earlier, the limit is a share of the shortest idle time of those closes.
 class IdleTimeoutEstimator {
  public:
-  // `idle_timeout_ms`: after which endpoints close idle connections.
+  // `idle_timeout_ms`: configured idle time after which endpoints close connections.
   explicit IdleTimeoutEstimator(double idle_timeout_ms) : idle_timeout_ms_(idle_timeout_ms) {}
 
-  // The endpoint closed a connection after `idle_ms` of idle time.
+  // Records that the endpoint closed a connection after `idle_ms` of idle time.
   void closed_by_endpoint(EndpointIndex endpoint, double idle_ms, double now_ms);
-  // Idle time from which a connection is not reused. Forgets old closes.
-  [[nodiscard]] double usable_ms(double now_ms);
-  // Idle time from which a connection is closed: usable_ms() never exceeds it.
+  // Idle time from which a connection is not reused. Discards old closes.
+  [[nodiscard]] double max_reuse_idle_ms(double now_ms);
+  // Idle time from which a connection is closed. max_reuse_idle_ms() never exceeds this time.
   [[nodiscard]] double close_after_ms() const;
 
  private:
--- a/src/proxy/upstream/request.cpp
+++ b/src/proxy/upstream/request.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-// Limit of queued bytes of a streamed body.
+// Limit of the bytes of a streamed body in the stream's write queue.
 constexpr std::size_t max_queued_bytes = std::size_t{32} * 1024;
 
 }  // namespace
 
-UpstreamRequest UpstreamRequest::of_client(SharedMessage message, double streaming_budget_ms) {
+UpstreamRequest UpstreamRequest::from_client(SharedMessage message, double streaming_budget_ms) {
   UpstreamRequest request;
-  request.streams_ = !message->complete();
-  request.queued_ = !request.streams_;
+  request.is_body_streamed_ = !message->complete();
+  request.is_fully_queued_ = !request.is_body_streamed_;
   request.streaming_budget_ms_ = streaming_budget_ms;
   request.message_ = std::move(message);
   return request;
@@ -37,26 +37,26 @@
 
 bool UpstreamRequest::write_start(transport::Chain& out, std::string_view host, double budget_ms) {
   if (!message_) return protocol::write_get(out, host, path_);
-  if (!streams_) return protocol::write_request(out, *message_, budget_ms);
-  return protocol::write_request_head(out, *message_, streaming_budget_ms_, chunked_);
+  if (!is_body_streamed_) return protocol::write_request(out, *message_, budget_ms);
+  return protocol::write_request_head(out, *message_, streaming_budget_ms_, is_body_chunked_);
 }
 
 UpstreamRequest::SendResult UpstreamRequest::send(transport::Stream& stream) {
   bool moved = false;
   while (stream.flush()) {
-    if (queued_) return stream.flushed() ? SendResult::sent : SendResult::pending;
+    if (is_fully_queued_) return stream.flushed() ? SendResult::sent : SendResult::pending;
     if (stream.out().size() >= max_queued_bytes)
-      return moved && !message_->complete() ? SendResult::drained : SendResult::pending;
-    auto result = message_->move_body(stream.out(), chunked_);
+      return moved && !message_->complete() ? SendResult::body_drained : SendResult::pending;
+    auto result = message_->move_body(stream.out(), is_body_chunked_);
     moved = moved || result == Message::MoveResult::moved;
     bool at_end = result == Message::MoveResult::nothing && message_->complete();
-    if (at_end && (!chunked_ || stream.out().append(protocol::last_chunk))) {
-      queued_ = true;
+    if (at_end && (!is_body_chunked_ || stream.out().append(protocol::last_chunk))) {
+      is_fully_queued_ = true;
     } else if (result == Message::MoveResult::out_of_buffers || message_->complete()) {
       stream.again(EPOLLOUT);
       return SendResult::pending;
     } else if (result == Message::MoveResult::nothing) {
-      return moved ? SendResult::drained : SendResult::pending;
+      return moved ? SendResult::body_drained : SendResult::pending;
     }
   }
   return SendResult::broken;
--- a/src/proxy/upstream/upstreams.cpp
+++ b/src/proxy/upstream/upstreams.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Concurrent dials to one endpoint; dials to an unreachable machine hang until their timeout.
+// Bounds concurrent dials to one endpoint: dials to an unreachable machine hang until they time out.
 constexpr int max_dials_per_endpoint = 8;
 
 }  // namespace
@@ -38,16 +38,16 @@
   if (auto known = endpoints_.find(name); known != no_endpoint) return known;
   auto endpoint = endpoints_.add(name);
   connections_.reset_endpoint(endpoint);
-  waiting_.resize(endpoints_.size());
-  waiting(endpoint).clear();
+  waiting_attempts_.resize(endpoints_.size());
+  waiting_attempts(endpoint).clear();
   return endpoint;
 }
 
 void Upstreams::update_address(EndpointIndex endpoint, const std::string& address, double started_at_ms,
                                bool active) {
-  bool other_process = endpoints_.update(endpoint, address, started_at_ms, active);
+  bool is_other_process = endpoints_.update(endpoint, address, started_at_ms, active);
   if (!address.empty() && !endpoints_.dial_address(endpoint)) log_invalid_address(endpoint, address);
-  if (other_process) connections_.close_idle(endpoint);
+  if (is_other_process) connections_.close_idle(endpoint);
   if (!endpoints_.accepts_attempts(endpoint)) stop_attempts(endpoint);
 }
 
@@ -70,16 +70,17 @@
   if (endpoints_.remove(endpoint)) stop_attempts(endpoint);
 }
 
-// Ends the attempts that wait for a connection: no new request may be sent to a drained endpoint, and the
-// policy retries them at other endpoints.
+// Closes idle connections and fails the attempts that wait for a connection: no new request may be sent to a
+// drained endpoint, and the policy retries the attempts at other endpoints.
 void Upstreams::stop_attempts(EndpointIndex endpoint) {
   connections_.close_idle(endpoint);
-  for (auto id : std::exchange(waiting(endpoint), {})) complete(attempts_.find(id), Outcome::unreachable);
+  for (auto id : std::exchange(waiting_attempts(endpoint), {}))
+    complete(attempts_.find(id), Outcome::unreachable);
 }
 
 void Upstreams::reclaim_indices(const std::function<bool(EndpointIndex endpoint)>& in_use) {
   endpoints_.reclaim([&](EndpointIndex endpoint) {
-    return connections_.open(endpoint) > 0 || !waiting(endpoint).empty() || in_use(endpoint);
+    return connections_.open(endpoint) > 0 || !waiting_attempts(endpoint).empty() || in_use(endpoint);
   });
 }
 
@@ -87,14 +88,14 @@
 
 void Upstreams::start(AttemptId id, EndpointIndex endpoint, SharedMessage request,
                       const AttemptLimits& limits) {
-  // The forwarded part of a body is no longer held, and the rest alone is not the request.
+  // The forwarded part of a body is no longer in memory, so the request cannot be sent again.
   if (request->partly_forwarded()) {
     events_.push_back(
         {.attempt = id, .endpoint = endpoint, .outcome = Outcome::unreachable, .started_at_ms = now_ms_});
     return;
   }
   begin(id, {endpoint,
-             UpstreamRequest::of_client(std::move(request), limits.streaming_budget_ms),
+             UpstreamRequest::from_client(std::move(request), limits.streaming_budget_ms),
              {.started_at_ms = now_ms_,
               .limit_at_ms = now_ms_ + limits.limit_ms,
               .connect_by_ms = now_ms_ + dial_timeout_ms_,
@@ -116,8 +117,8 @@
   auto entry = attempts_.insert_or_assign(id, std::move(attempt)).first;
   if (!may_send(entry->second)) return complete(entry, Outcome::unreachable);
   if (auto* connection = connections_.take_idle(endpoint)) return send_request(*connection, entry);
-  set_due(entry, entry->second.give_up_at_ms());
-  waiting(endpoint).push_back(id);
+  set_due(entry, entry->second.timeout_at_ms());
+  waiting_attempts(endpoint).push_back(id);
   dial_for_waiting(endpoint);
 }
 
@@ -129,14 +130,14 @@
   auto entry = attempts_.find(id);
   if (entry == attempts_.end() || entry->second.streams_response()) return;
   entry->second.set_limit_at_ms(now_ms_ + limit_ms);
-  set_due(entry, entry->second.give_up_at_ms());
+  set_due(entry, entry->second.timeout_at_ms());
 }
 
 void Upstreams::limit_sending(AttemptId id, double send_by_ms) {
   auto entry = attempts_.find(id);
   if (entry == attempts_.end() || entry->second.is_sent()) return;
   entry->second.limit_sending(now_ms_ + send_by_ms);
-  set_due(entry, entry->second.give_up_at_ms());
+  set_due(entry, entry->second.timeout_at_ms());
 }
 
 bool Upstreams::cancel(AttemptId id) {
@@ -148,8 +149,8 @@
   return true;
 }
 
-// Allowed even where the settings forbid cancels: no endpoint has the complete request, so that there is
-// nothing to cancel there.
+// Allowed even where the settings forbid cancelling requests: no endpoint has the complete request, so there
+// is nothing to cancel at the endpoint.
 void Upstreams::abandon_unsent(AttemptId id) {
   auto entry = attempts_.find(id);
   if (entry == attempts_.end() || entry->second.is_sent()) return;
@@ -157,17 +158,17 @@
   complete(entry, Outcome::superseded);
 }
 
-// Closes the attempt's connection, the only way to cancel a request, or removes the attempt from the queue
-// for a connection.
+// Removes an attempt that waits for a connection from its endpoint's queue. Otherwise closes the attempt's
+// connection: HTTP/1.1 has no other way to cancel a request.
 void Upstreams::release_connection(AttemptEntry entry) {
   const auto& attempt = entry->second;
   if (attempt.awaits_connection())
-    std::erase(waiting(attempt.endpoint()), entry->first);
+    std::erase(waiting_attempts(attempt.endpoint()), entry->first);
   else
     connections_.close(connections_.at(attempt.connection()));
 }
 
-// Ends an attempt with an event. Only cancel() ends an attempt without.
+// Ends an attempt with a `completed` event. Only cancel() ends an attempt without an event.
 void Upstreams::complete(AttemptEntry entry, Outcome outcome, SharedMessage response) {
   if (entry == attempts_.end()) return;
   set_due(entry, DueTimes::none);
@@ -188,7 +189,8 @@
 
 void Upstreams::attempt_due(AttemptId id) {
   auto entry = attempts_.find(id);
-  // Reads first: a response may have arrived whose event is still queued, as a turn has a limit of events.
+  // Reads first: a turn handles a limited number of events, so the event of a received response may be
+  // pending.
   if (!entry->second.awaits_connection()) {
     read_response(connections_.at(entry->second.connection()), entry);
     entry = attempts_.find(id);
@@ -231,19 +233,20 @@
   if (connection.stream().dial_error() == 0) return sendable_.push_back(connection.id());
   EndpointIndex endpoint = connection.endpoint();
   connections_.close(connection);
-  if (waiting(endpoint).empty()) return;
+  if (waiting_attempts(endpoint).empty()) return;
   fail_next_waiting(endpoint);
   dial_for_waiting(endpoint);
 }
 
-// Requests are written in this one phase of a turn. Written as soon as its connection came up, a request
-// could reach an endpoint that the same turn's list had put into another group, or pass its latest time.
+// Requests are written only in this phase of a turn. A request written as soon as its connection is
+// established could reach an endpoint that the same turn's endpoint list moves to another group, or be sent
+// after its send deadline.
 void Upstreams::send_requests() {
   for (auto id : std::exchange(sendable_, {}))
-    if (auto* connection = connections_.find(id)) send_on(*connection);
+    if (auto* connection = connections_.find(id)) process_sendable(*connection);
 }
 
-void Upstreams::send_on(UpstreamConnection& connection) {
+void Upstreams::process_sendable(UpstreamConnection& connection) {
   EndpointIndex endpoint = connection.endpoint();
   switch (connection.state()) {
     case State::dialling:
@@ -263,12 +266,12 @@
   }
 }
 
-// The connection has settled, or its dial has timed out.
+// Ends the settling of a connection, or a dial that has timed out.
 void Upstreams::connection_due(ConnectionId id) {
   auto& connection = connections_.at(id);
   EndpointIndex endpoint = connection.endpoint();
   if (connection.state() == State::settling) {
-    connections_.settled(connection);
+    connections_.finish_settling(connection);
     return sendable_.push_back(id);
   }
   connections_.close(connection);
@@ -276,7 +279,7 @@
   dial_for_waiting(endpoint);
 }
 
-// A dialled or settled connection serves the attempt at the head of the queue, or is kept for the next
+// Assigns a dialled or settled connection to the first attempt in the queue, or keeps it for the next
 // attempt.
 void Upstreams::connection_available(UpstreamConnection& connection) {
   EndpointIndex endpoint = connection.endpoint();
@@ -284,37 +287,39 @@
     connections_.close(connection);
     return dial_for_waiting(endpoint);
   }
-  while (!waiting(endpoint).empty()) {
-    auto entry = attempts_.find(waiting(endpoint).front());
-    // The attempt may time out in this same turn: it must not be sent then.
-    if (entry->second.give_up_at_ms() <= now_ms_ || !may_send(entry->second)) {
+  while (!waiting_attempts(endpoint).empty()) {
+    auto entry = attempts_.find(waiting_attempts(endpoint).front());
+    // An attempt that times out in this turn must not be sent.
+    if (entry->second.timeout_at_ms() <= now_ms_ || !may_send(entry->second)) {
       fail_next_waiting(endpoint);
       continue;
     }
-    waiting(endpoint).pop_front();
+    waiting_attempts(endpoint).pop_front();
     return send_request(connection, entry);
   }
   if (!endpoints_.accepts_attempts(endpoint)) return connections_.close(connection);
   connections_.keep_idle(connection);
 }
 
-// Reads the clock anew where the window of an idempotency key ends: a turn may have taken long.
+// Reads the clock again for attempts with a send deadline: the turn may have taken long, and the request must
+// not be written after the window of its idempotency key.
 bool Upstreams::may_send(const UpstreamAttempt& attempt) const {
-  if (!attempt.has_latest_sending() || !read_clock_ms_) return attempt.may_be_sent(now_ms_);
+  if (!attempt.has_send_deadline() || !read_clock_ms_) return attempt.may_be_sent(now_ms_);
   return attempt.may_be_sent(read_clock_ms_());
 }
 
 void Upstreams::dial_for_waiting(EndpointIndex endpoint) {
   while (true) {
     int dialling = connections_.dialling(endpoint);
-    if (dialling >= max_dials_per_endpoint || dialling >= static_cast<int>(waiting(endpoint).size())) return;
+    if (dialling >= max_dials_per_endpoint || dialling >= static_cast<int>(waiting_attempts(endpoint).size()))
+      return;
     if (!connections_.dial(endpoint)) fail_next_waiting(endpoint);
   }
 }
 
 void Upstreams::fail_next_waiting(EndpointIndex endpoint) {
-  auto id = waiting(endpoint).front();
-  waiting(endpoint).pop_front();
+  auto id = waiting_attempts(endpoint).front();
+  waiting_attempts(endpoint).pop_front();
   complete(attempts_.find(id), Outcome::unreachable);
 }
 
@@ -340,8 +345,8 @@
       return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::attempt_owns_its_connection};
   }
   std::size_t queued = 0;
-  for (std::size_t i = 0; i < waiting_.size(); ++i)
-    for (auto id : waiting_[i]) {
+  for (std::size_t i = 0; i < waiting_attempts_.size(); ++i)
+    for (auto id : waiting_attempts_[i]) {
       ++queued;
       auto entry = attempts_.find(id);
       if (entry == attempts_.end() || !entry->second.awaits_connection() ||
@@ -351,7 +356,7 @@
   if (queued != awaiting)
     return BrokenUpstreamInvariant{.invariant = UpstreamInvariant::awaiting_attempt_queued};
   std::size_t in_flight = 0;
-  connections_.each([&](const UpstreamConnection& connection) {
+  connections_.for_each([&](const UpstreamConnection& connection) {
     in_flight += connection.state() == State::in_flight ? 1 : 0;
   });
   if (in_flight + awaiting != attempts_.size())
--- a/src/proxy/upstream/upstreams.hpp
+++ b/src/proxy/upstream/upstreams.hpp
@@ -1,5 +1,5 @@
-// Attempts at endpoints: each waits for a connection, sends its request, and reads the response. Collects
-// their events for the loop turn. All times are in ms of the loop turn's clock.
+// Runs attempts at endpoints: each waits for a connection, sends its request and reads the response. Collects
+// the events of attempts for the loop turn. All times are in ms of the loop turn's clock.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
 
 namespace meadowgauge::proxy {
 
-// Owns the attempts, the connections and the endpoints' addresses. Throws std::bad_alloc only: a failed
+// Owns the attempts, the connections and the endpoints' addresses. Throws only std::bad_alloc: a failed
 // attempt completes with an Outcome.
 class Upstreams final : UpstreamConnectionHandler {
  public:
@@ -37,7 +37,7 @@
     transport::Pool& buffers;
     transport::DueTimes& due_times;
     const double& now_ms;  // time of the loop turn
-    // The time at the call, on the same clock; empty: the time of the loop turn.
+    // Reads the same clock at the time of the call. Empty: the time of the loop turn is used.
     std::function<double()> read_clock_ms = {};
   };
   // `free_descriptor`: closes a downstream connection so that a dial gets its descriptor; false if none can
@@ -48,7 +48,7 @@
   Upstreams(const Upstreams&) = delete;
   Upstreams& operator=(const Upstreams&) = delete;
 
-  // The endpoints by index, with name and address.
+  // The endpoints by index, with their names and addresses.
   [[nodiscard]] const EndpointSlots& endpoints() const { return endpoints_; }
   // The index of the named endpoint; assigns an index to a new name. The index stays valid until
   // reclaim_indices() frees it.
@@ -57,11 +57,12 @@
   // identifies the incarnation; `active`: accepts new attempts. Closes idle connections of another
   // incarnation or address.
   void update_address(EndpointIndex endpoint, const std::string& address, double started_at_ms, bool active);
-  // An operator's drain overrides the endpoint list; false ends it.
+  // Starts or ends an operator's drain, which overrides the endpoint list.
   void set_manual_drain(EndpointIndex endpoint, bool drained);
-  // The endpoint has left the endpoint list.
+  // Removes an endpoint that has left the endpoint list.
   void remove(EndpointIndex endpoint);
-  // Frees the indices of removed endpoints without connections and waiting attempts, unless `in_use`.
+  // Frees the indices of removed endpoints that have no connections or waiting attempts and for which
+  // `in_use` returns false.
   void reclaim_indices(const std::function<bool(EndpointIndex endpoint)>& in_use);
 
   // Starts an attempt; shares `request` until the attempt is over. An incomplete request is sent with a
@@ -69,36 +70,36 @@
   void start(AttemptId id, EndpointIndex endpoint, SharedMessage request, const AttemptLimits& limits);
   // Starts a health check, unless `id` is still in flight.
   void start_health_check(AttemptId id, EndpointIndex endpoint, std::string_view path, double limit_ms);
-  // The functions from here on have no effect on an attempt that is over.
-  // More of the request's body is received.
+  // The functions below have no effect on an attempt that is over.
+  // Forwards more of the request's body after it is received.
   void continue_request(AttemptId id);
-  // The request's body is complete: sets the time limit, from now.
+  // Sets the time limit, counted from now, once the request's body is complete.
   void set_limit(AttemptId id, double limit_ms);
-  // The request has to be sent to its last byte within `send_by_ms` from now, or earlier if it had to be;
-  // else the attempt ends as never sent. No effect on a sent one.
+  // Requires that the request's last byte is written within `send_by_ms` from now, else the attempt ends as
+  // never sent. No effect on a sent request or if an earlier deadline is set.
   void limit_sending(AttemptId id, double send_by_ms);
-  // The client has taken the buffered part of the response: reads on.
+  // Continues to read the response after the client has received its buffered part.
   void resume_response(AttemptId id);
-  // Deadline of a streamed response that fits in the buffer.
+  // Sets the deadline of a streamed response that fits in the buffer.
   void set_response_due(AttemptId id, double at_ms);
-  // Starts to stream responses of unknown length that have been buffered for `max_held_ms`. Called
+  // Starts to stream responses of unknown length that have been buffered for `max_held_ms`. To be called
   // periodically.
   void stream_held_responses();
-  // Ends an attempt without an event, and closes its connection. False: the attempt is over, with its own
+  // Ends an attempt without an event, and closes its connection. False: the attempt is over and has its own
   // `completed` event.
   bool cancel(AttemptId id);
-  // Ends an unsent attempt with Outcome::superseded; no effect on a sent one. Called when the request has its
-  // final response or the client has left.
+  // Ends an unsent attempt with Outcome::superseded; no effect on a sent attempt. Called when the request has
+  // its final response or the client has disconnected.
   void abandon_unsent(AttemptId id);
 
-  // Sends the requests of attempts whose connections have come up, or have become writable, in this loop
-  // turn. Called after the turn's endpoint lists, due times and client events are applied: an attempt that
-  // these forbid has ended by then.
+  // Sends the requests of attempts whose connections were established or became writable in this loop turn.
+  // To be called after the turn's endpoint lists, due times and client events are applied, because these may
+  // end attempts that must not be sent.
   void send_requests();
 
-  // A due time of one of the kinds above has been reached.
+  // Handles a due time of one of the kinds above.
   void deadline_reached(transport::DueKey key);
-  // Closes connections that have been idle for too long to be reused. Called periodically.
+  // Closes connections that have been idle for too long to be reused. To be called periodically.
   void close_expired_connections() { connections_.close_expired(); }
   // Sets the limit; closes the oldest idle connections above it.
   void set_max_connections(std::size_t max_connections) { connections_.set_max_connections(max_connections); }
@@ -107,7 +108,7 @@
 
   // Collected events; the caller clears them.
   [[nodiscard]] std::vector<AttemptEvent>& events() { return events_; }
-  // Attempts of requests sent to the last byte, since the start; without health checks.
+  // Number of attempts since the start whose request was sent to its last byte, without health checks.
   [[nodiscard]] std::uint64_t requests_sent() const { return requests_sent_; }
 
   // The first broken invariant; absent if all hold. For tests, between loop turns.
@@ -115,7 +116,7 @@
 
  private:
   using Attempts = std::unordered_map<AttemptId, UpstreamAttempt>;
-  using AttemptEntry = Attempts::iterator;  // always an attempt that is not over
+  using AttemptEntry = Attempts::iterator;  // never of an attempt that is over
 
   // Start and end of attempts.
   void begin(AttemptId id, UpstreamAttempt attempt);
@@ -127,23 +128,23 @@
   // Connections, and the queue of attempts for them.
   void connection_ready(UpstreamConnection& connection, std::uint32_t events) override;
   void dial_finished(UpstreamConnection& connection);
-  void send_on(UpstreamConnection& connection);
+  void process_sendable(UpstreamConnection& connection);
   void connection_due(ConnectionId id);
   void connection_available(UpstreamConnection& connection);
   void dial_for_waiting(EndpointIndex endpoint);
   void fail_next_waiting(EndpointIndex endpoint);
   void stop_attempts(EndpointIndex endpoint);
-  // Whether the attempt's request may be written at this very moment.
+  // Whether the attempt's request may be written at the time of the call.
   [[nodiscard]] bool may_send(const UpstreamAttempt& attempt) const;
-  [[nodiscard]] std::deque<AttemptId>& waiting(EndpointIndex endpoint) {
-    return waiting_[position_of(endpoint)];
+  [[nodiscard]] std::deque<AttemptId>& waiting_attempts(EndpointIndex endpoint) {
+    return waiting_attempts_[position_of(endpoint)];
   }
 
   // Requests and responses (exchange.cpp).
   void send_request(UpstreamConnection& connection, AttemptEntry entry);
   bool send_pending(UpstreamConnection& connection, AttemptEntry entry);
   void read_response(UpstreamConnection& connection, AttemptEntry entry);
-  bool take_received(UpstreamConnection& connection, AttemptEntry entry);
+  bool parse_received(UpstreamConnection& connection, AttemptEntry entry);
   void response_head_received(UpstreamConnection& connection, AttemptEntry entry);
   void stream_response(UpstreamConnection& connection, AttemptEntry entry);
   void response_progressed(UpstreamConnection& connection, AttemptEntry entry);
@@ -163,7 +164,7 @@
   Logger log_;
   EndpointSlots endpoints_;
   ConnectionPool connections_;
-  std::vector<std::deque<AttemptId>> waiting_;  // for a connection, by endpoint; oldest first
+  std::vector<std::deque<AttemptId>> waiting_attempts_;  // by endpoint index; oldest first
   // Connections that are dialled, settled or writable since the last send_requests().
   std::vector<ConnectionId> sendable_;
   Attempts attempts_;
--- a/tests/proxy/discovery/discovery_watch_content_test.cpp
+++ b/tests/proxy/discovery/discovery_watch_content_test.cpp
@@ -1,4 +1,5 @@
-// What the discovery client reads from a watch, and which list it fetches after a move or an unreadable line.
+// The lists that the discovery client reads from a watch, and the calls that it makes after a move to another
+// discovery or after an unreadable line.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,7 +10,8 @@
 namespace meadowgauge::proxy {
 namespace {
 
-// A reload moves a whole fleet at once: watches continue from their version, complete lists are delayed.
+// Guards against an overload of the new discovery when a reload moves a whole fleet at once: watches continue
+// from their version, and complete lists are fetched after a delay.
 TEST(DiscoveryWatchContent, MovedPollingWatchFetchesTheListLater) {
   ClientFixture fixture;
   DiscoveryStandIn other(fixture.loop);
@@ -29,7 +31,8 @@
   EXPECT_TRUE(fixture.received(fixture.client.updates().size() - 1).full);
 }
 
-// Lower versions belong to another count, so only a complete list shows which endpoints have left.
+// Guards against endpoints that stay in use after they have left: lower versions show that the new discovery
+// counts independently, and only a complete list shows which endpoints have left.
 TEST(DiscoveryWatchContent, LowerVersionsFetchTheCompleteListAtOnce) {
   ClientFixture fixture;
   DiscoveryStandIn other(fixture.loop);
@@ -39,7 +42,7 @@
   EXPECT_TRUE(fixture.take_call(other).starts_with("GET /api/targets HTTP"));
 }
 
-// An overloaded discovery refuses the complete list; the watch on changes continues.
+// Guards against a watch that stops when an overloaded discovery refuses the complete list.
 TEST(DiscoveryWatchContent, MovedWatchContinuesIfTheListIsRefused) {
   ClientFixture fixture;
   DiscoveryStandIn other(fixture.loop);
@@ -55,7 +58,8 @@
   EXPECT_TRUE(fixture.take_call(other).starts_with("GET /api/targets?watch=1&after=6 "));
 }
 
-// A local agent serves the complete list at no cost to others, and its drains bind soon.
+// A local agent sends the complete list without load on other balancers, and its drains apply after a short
+// grace period, so the complete list is fetched first.
 TEST(DiscoveryWatchContent, MovedPushWatchFetchesTheListFirst) {
   ClientFixture fixture(7, 250);
   DiscoveryStandIn other(fixture.loop);
@@ -63,8 +67,8 @@
   EXPECT_TRUE(fixture.take_call(other).starts_with("GET /api/targets HTTP"));
 }
 
-// An unreadable line may hold a drain: the watch is reopened from the last readable version, even if other
-// lines follow.
+// Guards against a lost drain: an unreadable line may contain one, so the watch is reopened from the last
+// readable version even if other lines follow.
 TEST(DiscoveryWatchContent, UnreadableLineIsRequestedAgain) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     ClientFixture fixture(seed);
@@ -80,7 +84,8 @@
   }
 }
 
-// Lists may be indented and cut anywhere. A truncated list does not spoil the next one.
+// Lists may be indented and split at any byte. A truncated list does not prevent the next list from being
+// read.
 TEST(DiscoveryWatchContent, IndentedListIsReadAsOneList) {
   const std::string indented =
       "{\n  \"seq\": 6,\n  \"whole\": false,\n  \"hosts\": [\n    {\n      \"host\":"
@@ -105,7 +110,7 @@
   EXPECT_TRUE(fixture.dialled());  // the truncated list is requested again
 }
 
-// Large indented lists arrive in many chunks.
+// Large indented lists are received in many chunks.
 TEST(DiscoveryWatchContent, ListOfTwoThousandServersIsReadWhole) {
   for (int n : {1024, 2000}) {
     std::string text = "{\n  \"seq\": 6,\n  \"whole\": true,\n  \"hosts\": [";
@@ -124,14 +129,16 @@
   }
 }
 
-// A malformed or oversized line may hold a drain: the first repeat follows at once, later ones each 1.5 s.
-TEST(DiscoveryWatchContent, UnreadableLineIsReRequestedBeforeADrainBinds) {
+// A malformed or oversized line may contain a drain: the first repeated request follows at once, later ones
+// at intervals of 1.5 s.
+TEST(DiscoveryWatchContent, UnreadableLineIsReRequestedWithinTheGrace) {
   for (const std::string& line : {std::string("{\"seq\":6}\n"), std::string("{\"seq\":6"),
                                   std::string(protocol::LineReader::max_line_bytes + 100, ' ') + "\n"}) {
     ClientFixture fixture(7, 400.0);
     fixture.watch(empty_list);
     for (std::size_t at = 0; at < line.size(); at += 60000) fixture.send_chunk(line.substr(at, 60000));
-    if (line.size() < 20 && !line.ends_with('\n')) continue;  // an unfinished line is a silent watch
+    if (line.size() < 20 && !line.ends_with('\n'))
+      continue;  // a watch with an incomplete line counts as silent
     fixture.advance_to(fixture.now_ms + 130);
     EXPECT_TRUE(fixture.dialled()) << line.substr(0, 20);
   }
--- a/tests/proxy/discovery/initial_list_test.cpp
+++ b/tests/proxy/discovery/initial_list_test.cpp
@@ -1,4 +1,4 @@
-// InitialList as values: which events let a new process serve.
+// Which events allow a new process to serve. Uses no sockets and no clock.
 #include "proxy/discovery/initial_list.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   EXPECT_EQ(list.list_received(), std::nullopt);
 }
 
-TEST(InitialList, AnOverloadedDiscoveryDoesNotLetItServe) {
+TEST(InitialList, OverloadedDiscoveryDoesNotAllowServing) {
   InitialList list(true, 1000);
   for (auto error :
        {DiscoveryError::unexpected_status, DiscoveryError::connection_closed, DiscoveryError::malformed_list})
@@ -24,7 +24,7 @@
   EXPECT_FALSE(list.may_serve());
 }
 
-TEST(InitialList, AnUnreachableDiscoveryLetsItServe) {
+TEST(InitialList, UnreachableDiscoveryAllowsServing) {
   for (auto error : {DiscoveryError::connect_failed, DiscoveryError::watch_timed_out}) {
     InitialList list(true, 1000);
     EXPECT_EQ(list.call_failed(error), State::awaited);
@@ -42,10 +42,10 @@
   EXPECT_FALSE(list.may_serve());
   EXPECT_EQ(list.time_passed(due_ms), State::awaited);
   EXPECT_EQ(list.state(), State::overdue);
-  EXPECT_LE(due_ms, 1000 + 10000) << "nine in ten restarted balancers are ready within 10 s";
+  EXPECT_LE(due_ms, 1000 + 10000) << "90% of restarted balancers must be ready within 10 s";
 }
 
-TEST(InitialList, ServesFromTheStartWhereNoneIsRequired) {
+TEST(InitialList, ServesFromTheStartIfNoListIsRequired) {
   InitialList list(false, 1000);
   EXPECT_TRUE(list.may_serve());
   EXPECT_EQ(list.time_passed(1e9), std::nullopt);
--- a/tests/proxy/discovery/silent_watch_pacing_test.cpp
+++ b/tests/proxy/discovery/silent_watch_pacing_test.cpp
@@ -1,5 +1,4 @@
-// A polled fleet whose open watches fall silent together, against a discovery of fixed capacity, in simulated
-// time.
+// A simulated fleet that polls a discovery of fixed capacity and whose open watches fall silent together.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,21 +12,21 @@
 namespace meadowgauge::proxy {
 namespace {
 
-constexpr double change_binds_ms = 6000;
-constexpr double line_interval_ms = 2000;  // an idle watch sends an empty line this often
-constexpr double list_ms = 20;             // discovery hands out 50 lists a second
-constexpr double frame_ms = 5000;          // of a large fleet's starts
+constexpr double max_change_delay_ms = 6000;
+constexpr double line_interval_ms = 2000;  // interval of the empty lines on an idle watch
+constexpr double list_cost_ms = 20;        // discovery sends 50 lists per second
+constexpr double frame_ms = 5000;          // frame in which a large fleet's new processes call
 constexpr double unix_time_ms = 1764764764000;
 
-// Answers calls in order. A call that waits too long is refused, and still costs discovery its work.
-struct CrowdedDiscovery {
+// Answers calls in order. A call that waits too long is refused, but its work is done all the same.
+struct QueueingDiscovery {
   static constexpr double max_wait_ms = 2000;
   double free_at_ms = 0;
   int wasted_calls = 0;
 
-  // The time of the answer or of the refusal.
+  // Returns the time of the answer or of the refusal.
   double call(double now_ms, bool& answered) {
-    free_at_ms = std::max(free_at_ms, now_ms) + list_ms;
+    free_at_ms = std::max(free_at_ms, now_ms) + list_cost_ms;
     answered = free_at_ms - now_ms <= max_wait_ms;
     if (answered) return free_at_ms;
     ++wasted_calls;
@@ -35,18 +34,21 @@
   }
 };
 
-// Where the last lines lie: all at the moment of the silence, or evenly over the interval before it.
+// When the watches received their last lines: all at the start of the silence, or evenly over the line
+// interval before it.
 enum class LastLines : std::uint8_t { together, even };
 
+// The fleet of a simulation.
 struct SilentFleet {
   int instances = 1;
   LastLines last_lines = LastLines::together;
   int restarts = 0;  // balancers that restart while the others' watches are silent
 };
 
+// The result of a simulation.
 struct Recovery {
-  double latest_list_ms = 0;  // from the fall of silence, or from the start of a restarted process
-  int late = 0;               // balancers without a list when changes bind
+  double latest_list_ms = 0;  // from the start of the silence, or of the restarted process
+  int late = 0;               // balancers whose list comes after max_change_delay_ms
   int wasted_calls = 0;
 };
 
@@ -57,9 +59,10 @@
     for (int number = 0; number < fleet.instances; ++number) {
       double place = number / static_cast<double>(fleet.instances);
       pacing_.emplace_back(
-          WatchTerms{.push_grace_ms = {}, .instances = static_cast<double>(fleet.instances), .place = place},
+          WatchPacingSettings{
+              .push_grace_ms = {}, .instances = static_cast<double>(fleet.instances), .place = place},
           seed * 1000 + static_cast<std::uint64_t>(number));
-      // Restarts are evenly distributed over the numbers.
+      // Restarts are evenly distributed over the balancers' numbers.
       bool restarted =
           number * fleet.restarts / fleet.instances != (number + 1) * fleet.restarts / fleet.instances;
       begin(number, restarted, fleet.last_lines);
@@ -79,9 +82,9 @@
         calls_.push({done_ms + backoff_ms, number});
         continue;
       }
-      double delay_ms = done_ms - bound_from_ms_[index];
+      double delay_ms = done_ms - change_known_from_ms_[index];
       result.latest_list_ms = std::max(result.latest_list_ms, delay_ms);
-      if (delay_ms > change_binds_ms) ++result.late;
+      if (delay_ms > max_change_delay_ms) ++result.late;
     }
     result.wasted_calls = discovery_.wasted_calls;
     return result;
@@ -100,83 +103,84 @@
     auto& pacing = pacing_.back();
     if (restarted) {
       double started_ms = unix_time_ms + random_fraction() * frame_ms;
-      bound_from_ms_.push_back(started_ms);
-      calls_.push({started_ms + pacing.first_call_ms(started_ms), number});
+      change_known_from_ms_.push_back(started_ms);
+      calls_.push({started_ms + pacing.first_call_delay_ms(started_ms), number});
       return;
     }
     double since_line_ms = last_lines == LastLines::even ? random_fraction() * line_interval_ms : 0;
     double last_line_ms = unix_time_ms - since_line_ms;
-    bound_from_ms_.push_back(unix_time_ms);
-    calls_.push({last_line_ms + pacing.silence_limit_ms(last_line_ms), number});
+    change_known_from_ms_.push_back(unix_time_ms);
+    calls_.push({last_line_ms + pacing.silence_timeout_ms(last_line_ms), number});
     pacing.record_silence();
   }
 
   std::mt19937 random_;
-  CrowdedDiscovery discovery_;
+  QueueingDiscovery discovery_;
   std::vector<WatchPacing> pacing_;
-  std::vector<double> bound_from_ms_;
+  std::vector<double> change_known_from_ms_;
   std::priority_queue<Call, std::vector<Call>, std::greater<>> calls_;
 };
 
 void expect_lists_in_time(const SilentFleet& fleet) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     auto recovery = Simulation(fleet, seed).run();
-    EXPECT_LE(recovery.latest_list_ms, change_binds_ms)
+    EXPECT_LE(recovery.latest_list_ms, max_change_delay_ms)
         << fleet.instances << " balancers, seed " << seed << ", late: " << recovery.late;
     EXPECT_EQ(recovery.wasted_calls, 0) << fleet.instances << " balancers, seed " << seed;
   }
 }
 
-// Guards against lists that come after a change binds: the last lines came together, and 2.72 s of silence
-// and the fleet's lists fill the 6 s.
-TEST(SilentWatchPacing, EachHasItsListInTimeAfterLinesThatCameTogether) {
+// Guards against lists that are received later than the 6 s allowed for a change. The last lines came
+// together, so the minimum silence of 2.72 s and the time for the fleet's lists must fit into the 6 s.
+TEST(SilentWatchPacing, ListsAreInTimeAfterSimultaneousLastLines) {
   for (int instances : {1, 3, 30, 60, 100, 160})
     expect_lists_in_time({.instances = instances, .last_lines = LastLines::together});
 }
 
-// The same for watches whose lines come at different times, as those do that were opened one after another.
-TEST(SilentWatchPacing, EachHasItsListInTimeAfterEvenLines) {
+// The same for watches that were opened one after another, so that their lines come at different times.
+TEST(SilentWatchPacing, ListsAreInTimeAfterEvenlySpacedLastLines) {
   for (int instances : {1, 3, 30, 100, 160, 210})
     expect_lists_in_time({.instances = instances, .last_lines = LastLines::even});
 }
 
-// Guards against an overload by starts and redials together: both are made at the balancer's place.
+// Guards against an overload by new processes and by replaced watches together: both call at the balancer's
+// place.
 TEST(SilentWatchPacing, StartsAndSilentWatchesDoNotOverloadDiscovery) {
   for (int instances : {30, 100, 160})
     expect_lists_in_time(
         {.instances = instances, .last_lines = LastLines::together, .restarts = instances / 2});
 }
 
-// 350 lists take discovery 7 s, so a part is late whatever the fleet does. No call may be wasted, and the
-// last list may come no later than discovery can hand it out.
-TEST(SilentWatchPacing, AFleetAboveTheBoundWastesNoCall) {
-  constexpr double silence_is_known_ms = 2720;
+// Guards against wasted calls of a fleet above discovery's capacity: 350 lists take discovery 7 s, so some
+// are late in any case. The last list must come as soon as discovery can send it.
+TEST(SilentWatchPacing, FleetAboveCapacityWastesNoCall) {
+  constexpr double min_silence_ms = 2720;
   constexpr double margin_ms = 300;
   for (int instances : {250, 300, 350, 900})
     for (auto last_lines : {LastLines::together, LastLines::even})
       for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         auto recovery = Simulation({.instances = instances, .last_lines = last_lines}, seed).run();
         EXPECT_EQ(recovery.wasted_calls, 0) << instances << " balancers, seed " << seed;
-        EXPECT_LE(recovery.latest_list_ms, silence_is_known_ms + instances * list_ms + margin_ms)
+        EXPECT_LE(recovery.latest_list_ms, min_silence_ms + instances * list_cost_ms + margin_ms)
             << instances << " balancers, seed " << seed;
       }
 }
 
-// An answer may take its whole limit where the fleet is small.
+// In a small fleet an answer may take the whole call timeout and still be in time.
 TEST(SilentWatchPacing, SmallFleetHasTimeForASlowAnswer) {
   for (double instances : {1.0, 3.0, 10.0, 30.0, 54.0})
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
       WatchPacing pacing({.push_grace_ms = {}, .instances = instances, .place = {}}, seed);
-      EXPECT_LE(pacing.silence_limit_ms(unix_time_ms) + pacing.answer_limit_ms(), change_binds_ms);
+      EXPECT_LE(pacing.silence_timeout_ms(unix_time_ms) + pacing.call_timeout_ms(), max_change_delay_ms);
     }
 }
 
-// A line that is half a second late is not taken for silence.
+// A watch whose line is half a second late does not count as silent.
 TEST(SilentWatchPacing, ALateLineIsNotSilence) {
   for (double instances : {1.0, 30.0, 350.0})
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
       WatchPacing pacing({.push_grace_ms = {}, .instances = instances, .place = {}}, seed);
-      EXPECT_GE(pacing.silence_limit_ms(unix_time_ms), line_interval_ms + 500);
+      EXPECT_GE(pacing.silence_timeout_ms(unix_time_ms), line_interval_ms + 500);
     }
 }
 
--- a/tests/proxy/upstream/idempotency_model.cpp
+++ b/tests/proxy/upstream/idempotency_model.cpp
@@ -1,4 +1,4 @@
-// The loop, the attempts and the connections of the model, as Balancer and Upstreams treat them.
+// The loop, the attempts and the connections of the model. They must match Balancer and Upstreams.
 #include "proxy/upstream/idempotency_model.hpp"
 
 #include <algorithm>
@@ -13,22 +13,22 @@
 
 namespace {
 
-constexpr std::size_t max_dials_per_server = 2;  // few, so that attempts wait behind the dials of others
+constexpr std::size_t max_dials_per_server = 2;  // low, so that attempts wait for dials of other attempts
 constexpr double settle_ms = 20;                 // between a response and the connection's next request
 
 // Dials.
 constexpr double refused_share = 0.04;      // of the dials
 constexpr double slow_dial_share = 0.5;     // of the dials
-constexpr double silent_dial_share = 0.04;  // of the dials; these never end
-constexpr double quick_dial_ms = 3;         // at most, unless slow
-constexpr double max_dial_ratio = 1.5;      // of the time limit of dials, for a slow one
+constexpr double silent_dial_share = 0.04;  // of the dials; these dials never end
+constexpr double quick_dial_ms = 3;         // maximum, unless slow
+constexpr double max_dial_ratio = 1.5;      // maximum duration of a slow dial, as a share of the dial timeout
 
 // Requests that are written in parts.
-constexpr double broken_part_share = 0.05;  // of the parts: the connection breaks behind them
+constexpr double broken_part_share = 0.05;  // of the parts; the connection breaks after the part
 constexpr double long_gap_share = 0.25;     // of the gaps between two parts
-constexpr double short_gap_ms = 20;         // at most, unless long
+constexpr double short_gap_ms = 20;         // maximum, unless long
 
-constexpr double max_wake_ms = 0.5;       // from an event to the reading of the clock
+constexpr double max_wake_ms = 0.5;       // maximum time from an event to the reading of the clock
 constexpr double keep_alive_share = 0.4;  // of the responses
 
 }  // namespace
@@ -43,40 +43,40 @@
 
 void IdempotencyModel::take_turn() {
   double next_ms = next_event_ms();
-  if (next_ms == never) throw std::logic_error("a request is open, and nothing will happen any more");
-  real_ms_ = std::max(real_ms_, next_ms) + chance_.between(0, max_wake_ms);
+  if (next_ms == never) throw std::logic_error("a request is open, but no further event is due");
+  real_ms_ = std::max(real_ms_, next_ms) + random_.between(0, max_wake_ms);
   clock_ms_ = real_ms_;
-  held_ms_ = 0;
+  pause_ms_ = 0;
   servers_change();
-  maybe_hold();
+  maybe_pause();
   socket_events();
   lists();
   outcomes();
-  maybe_hold();
+  maybe_pause();
   due_times();
   write_to_ready_connections();
   new_requests();
-  maybe_hold();
+  maybe_pause();
   commands();
   tick();
 }
 
-// The process loses the processor between the reading of its clock and a write.
-void IdempotencyModel::maybe_hold() {
-  if (held_ms_ > 0 || !chance_.of(settings_.hold_share)) return;
-  held_ms_ = chance_.between(0, settings_.max_hold_ms);
-  real_ms_ += held_ms_;
+// Simulates that the process is not scheduled between the reading of its clock and a write.
+void IdempotencyModel::maybe_pause() {
+  if (pause_ms_ > 0 || !random_.bernoulli(settings_.pause_share)) return;
+  pause_ms_ = random_.between(0, settings_.max_pause_ms);
+  real_ms_ += pause_ms_;
 }
 
-bool IdempotencyModel::may_be_written(const FlyingAttempt& attempt) const {
-  return attempt.value.give_up_at_ms() > clock_ms_ && attempt.value.may_be_sent(real_ms_);
+bool IdempotencyModel::may_be_written(const ActiveAttempt& attempt) const {
+  return attempt.value.timeout_at_ms() > clock_ms_ && attempt.value.may_be_sent(real_ms_);
 }
 
 double IdempotencyModel::next_event_ms() const {
   if (!ends_.empty() || !commands_.empty()) return real_ms_;
   double next_ms = std::min(due_.next(), next_request_at_ms_);
   for (const auto& [id, connection] : connections_) next_ms = std::min(next_ms, connection.event_at_ms);
-  for (const auto& [number, call] : calls_) next_ms = std::min(next_ms, call.leaves_at_ms);
+  for (const auto& [number, call] : calls_) next_ms = std::min(next_ms, call.client_leaves_at_ms);
   for (const auto& [at_ms, request_class] : repetitions_) next_ms = std::min(next_ms, at_ms);
   if (next_change_at_ms_ > clock_ms_) next_ms = std::min(next_ms, next_change_at_ms_);
   return next_ms;
@@ -95,14 +95,14 @@
     auto number = request_of(end.attempt);
     bool open = table_.is_open(number);
     bool succeeded = end.outcome == Outcome::succeeded;
-    note(number, "attempt " + std::to_string(proxy::attempt_of(end.attempt)) + " ended, outcome " +
+    note(number, "attempt " + std::to_string(proxy::attempt_number_of(end.attempt)) + " ended, outcome " +
                      std::to_string(static_cast<int>(end.outcome)));
     if (open && succeeded) {
       checker_.answered(to_integer(number));
       abandon_unsent_attempts(number);
     }
     table_.attempt_ended(number,
-                         {.attempt = proxy::attempt_of(end.attempt),
+                         {.attempt = proxy::attempt_number_of(end.attempt),
                           .outcome = end.outcome,
                           .request_closed = !open || succeeded,
                           .load_report = {}},
@@ -123,7 +123,7 @@
 }
 
 void IdempotencyModel::write_to_ready_connections() {
-  for (auto id : std::exchange(ready_, {})) {
+  for (auto id : std::exchange(ready_connections_, {})) {
     if (connections_.contains(id)) write_to(id);
   }
 }
@@ -150,15 +150,15 @@
 
 void IdempotencyModel::start(AttemptId id, std::size_t server, const AttemptTimeout& timeout) {
   double send_by_ms = timeout.send_by_ms;
-  if (settings_.fault == ModelFault::no_latest_write) send_by_ms = never;
+  if (settings_.fault == ModelFault::no_send_deadline) send_by_ms = never;
   proxy::UpstreamAttempt value(static_cast<EndpointIndex>(server), proxy::UpstreamRequest::health_check("/"),
                                {.started_at_ms = clock_ms_,
                                 .limit_at_ms = clock_ms_ + timeout.limit_ms,
                                 .connect_by_ms = clock_ms_ + dial_timeout_ms_,
                                 .send_by_ms = clock_ms_ + send_by_ms});
-  int parts = chance_.of(settings_.parts_share) ? 2 + chance_.below(3) : 1;
+  int parts = random_.bernoulli(settings_.parts_share) ? 2 + random_.below(3) : 1;
   auto& attempt = attempts_
-                      .emplace(id, FlyingAttempt{.value = std::move(value),
+                      .emplace(id, ActiveAttempt{.value = std::move(value),
                                                  .parts_left = parts,
                                                  .send_by_ms = clock_ms_ + send_by_ms})
                       .first->second;
@@ -166,12 +166,12 @@
     return entry.second.server == server && entry.second.state == Connection::State::idle;
   });
   if (idle != connections_.end()) return begin_request(idle->first, id);
-  set_due(id, attempt, attempt.value.give_up_at_ms());
+  set_due(id, attempt, attempt.value.timeout_at_ms());
   waiting_[server].push_back(id);
   dial_for_waiting(server);
 }
 
-void IdempotencyModel::set_due(AttemptId id, FlyingAttempt& attempt, double at_ms) {
+void IdempotencyModel::set_due(AttemptId id, ActiveAttempt& attempt, double at_ms) {
   due_.set(transport::due_key(attempt_due_kind, id), attempt.value.due_ms(), at_ms);
 }
 
@@ -201,7 +201,7 @@
     if (has_ended) return connection_ended(value.connection());
   }
   bool never_sent = attempts_.at(id).value.is_never_sent(clock_ms_);
-  if (never_sent && attempts_.at(id).send_by_ms <= clock_ms_) ++unsent_at_latest_write;
+  if (never_sent && attempts_.at(id).send_by_ms <= clock_ms_) ++unsent_at_send_deadline;
   release_connection(id);
   complete(id, never_sent ? Outcome::unreachable : Outcome::timeout);
 }
@@ -246,11 +246,11 @@
   connection.server = server;
   connection.listed_process = servers_[server].listed_process;
   connection.event =
-      chance_.of(refused_share) ? Connection::Event::broken : Connection::Event::dial_succeeded;
-  connection.event_at_ms = real_ms_ + chance_.between(0, quick_dial_ms);
-  if (chance_.of(slow_dial_share))
-    connection.event_at_ms = real_ms_ + chance_.between(0, max_dial_ratio * dial_timeout_ms_);
-  if (chance_.of(silent_dial_share)) connection.event_at_ms = never;
+      random_.bernoulli(refused_share) ? Connection::Event::broken : Connection::Event::dial_succeeded;
+  connection.event_at_ms = real_ms_ + random_.between(0, quick_dial_ms);
+  if (random_.bernoulli(slow_dial_share))
+    connection.event_at_ms = real_ms_ + random_.between(0, max_dial_ratio * dial_timeout_ms_);
+  if (random_.bernoulli(silent_dial_share)) connection.event_at_ms = never;
   set_connection_due(id, clock_ms_ + dial_timeout_ms_);
 }
 
@@ -262,7 +262,7 @@
   connection.event_at_ms = never;
   if (connection.event == Connection::Event::dial_succeeded) dial_succeeded(id);
   if (settings_.write_order == WriteOrder::after_due_times)
-    ready_.push_back(id);
+    ready_connections_.push_back(id);
   else
     write_to(id);
 }
@@ -274,19 +274,19 @@
   connection.state = Connection::State::settling;
   set_connection_due(id, DueTimes::none);
   auto is_pending = [&](const Server& server) { return server.has_unlisted_change; };
-  if (is_pending(servers_[connection.server])) ++lists_in_the_turn_of_a_connection;
+  if (is_pending(servers_[connection.server])) ++lists_in_connection_turns;
 }
 
-// The connection is writable: for the rest of a request, or for an attempt that waits for it.
+// Writes to a writable connection: the rest of a request, or the request of a waiting attempt.
 void IdempotencyModel::write_to(ConnectionId id) {
   const auto& connection = connections_.at(id);
   if (connection.state != Connection::State::in_flight) return connection_available(id);
-  // A request that is written in part goes on unasked.
-  bool is_asked = settings_.write_order == WriteOrder::after_due_times;
-  if (!is_asked || may_be_written(attempts_.at(connection.attempt))) write(id);
+  // With WriteOrder::on_socket_event the rest of a partly written request is written without a check.
+  bool needs_check = settings_.write_order == WriteOrder::after_due_times;
+  if (!needs_check || may_be_written(attempts_.at(connection.attempt))) write(id);
 }
 
-// The dial or the settling is due.
+// Ends a dial that has timed out, or the settling of a connection.
 void IdempotencyModel::connection_due(ConnectionId id) {
   auto& connection = connections_.at(id);
   if (connection.state == Connection::State::settling) {
@@ -298,7 +298,8 @@
   dial_for_waiting(server);
 }
 
-// The connection serves the first attempt that waits for it and may still be written, or is kept.
+// Assigns the connection to the first waiting attempt that may still be written, or keeps the connection
+// idle.
 void IdempotencyModel::connection_available(ConnectionId id) {
   auto& connection = connections_.at(id);
   auto server = connection.server;
@@ -309,7 +310,7 @@
   while (!waiting_[server].empty()) {
     auto attempt = waiting_[server].front();
     if (!may_be_written(attempts_.at(attempt))) {
-      if (attempts_.at(attempt).send_by_ms <= clock_ms_) ++unsent_at_latest_write;
+      if (attempts_.at(attempt).send_by_ms <= clock_ms_) ++unsent_at_send_deadline;
       fail_next_waiting(server);
       continue;
     }
@@ -325,9 +326,9 @@
   auto& connection = connections_.at(id);
   connection.state = Connection::State::in_flight;
   connection.attempt = attempt;
-  auto& flying = attempts_.at(attempt);
-  flying.value.connected(id);
-  set_due(attempt, flying, flying.value.give_up_at_ms());
+  auto& active = attempts_.at(attempt);
+  active.value.connected(id);
+  set_due(attempt, active, active.value.timeout_at_ms());
   write(id);
 }
 
@@ -337,17 +338,17 @@
   auto& attempt = attempts_.at(connection.attempt);
   if (--attempt.parts_left == 0) {
     attempt.value.request_sent();
-    set_due(connection.attempt, attempt, attempt.value.give_up_at_ms());
+    set_due(connection.attempt, attempt, attempt.value.timeout_at_ms());
     return last_byte_written(connection);
   }
-  bool is_broken = chance_.of(broken_part_share);
+  bool is_broken = random_.bernoulli(broken_part_share);
   connection.event = is_broken ? Connection::Event::broken : Connection::Event::writable;
   double gap_ms =
-      chance_.of(long_gap_share) ? chance_.between(0, window_ms_) : chance_.between(0, short_gap_ms);
+      random_.bernoulli(long_gap_share) ? random_.between(0, window_ms_) : random_.between(0, short_gap_ms);
   connection.event_at_ms = real_ms_ + gap_ms;
 }
 
-// A response has come, or the connection is broken.
+// Handles a response or a broken connection.
 void IdempotencyModel::connection_ended(ConnectionId id) {
   auto& connection = connections_.at(id);
   auto server = connection.server;
@@ -357,7 +358,7 @@
     auto broken = is_sent ? Outcome::reset : Outcome::unreachable;
     complete(connection.attempt, is_response ? connection.outcome : broken);
   }
-  if (is_response && chance_.of(keep_alive_share)) {
+  if (is_response && random_.bernoulli(keep_alive_share)) {
     connection.state = Connection::State::settling;
     connection.event = Connection::Event::none;
     connection.event_at_ms = never;
--- a/tests/proxy/upstream/idempotency_model.hpp
+++ b/tests/proxy/upstream/idempotency_model.hpp
@@ -1,5 +1,5 @@
-// A balancer as values with a simulated clock: the real policy, request table and upstream attempts between
-// servers, connections and clients that the model plays. No sockets and no sleep. Times are in ms.
+// A model of a balancer on a simulated clock: the real policy, request table and upstream attempts with
+// simulated servers, connections and clients. Uses no sockets and does not sleep. Times are in ms.
 #pragma once
 
 #include <array>
@@ -17,13 +17,13 @@
 
 namespace meadowgauge::test {
 
-// Parts of the balancer that are disabled, and what no balancer can keep; for tests of the checker.
+// Faults for tests of the checker: disabled parts of the balancer, and one that no balancer can prevent.
 enum class ModelFault : std::uint8_t {
   none,
-  no_latest_write,         // AttemptTimeout::send_by_ms is ignored
-  no_withdrawal,           // attempts go on although their server has moved
-  long_retry_after,        // rejected clients are told to wait for longer than the window
-  last_byte_taken_behind,  // a slow reader takes the last byte long after it was written
+  no_send_deadline,  // AttemptTimeout::send_by_ms is ignored
+  no_withdrawal,     // attempts continue although their server has moved to another group
+  long_retry_after,  // rejected clients are told to retry after the window
+  late_last_byte,    // a slow server reads the last byte long after it was written
 };
 
 // When a request is written to a connection that became ready in a turn of the loop.
@@ -32,65 +32,65 @@
   after_due_times,  // after both
 };
 
-// The order of the balancer's loop. Changes together with Balancer::run().
+// The order of the balancer's loop; must match Balancer::run().
 constexpr WriteOrder balancer_write_order = WriteOrder::after_due_times;
 
 struct ModelSettings {
   std::uint64_t seed = 0;
-  double min_window_ms = 300;  // the range from which the window is drawn, log-uniform
+  double min_window_ms = 300;  // the window is drawn log-uniformly from this range
   double max_window_ms = 30000;
-  double max_hold_ms = 150;  // between the reading of the clock and the write
+  double max_pause_ms = 150;  // maximum pause between the reading of the clock and the write
   bool hedging = true;
-  double parts_share = 0.3;          // of the requests is written in parts, to slow readers
-  double hold_share = 0.05;          // of the places in a turn at which the process may be held
-  bool lists_in_write_turns = true;  // lists may come in the turn in which a connection becomes ready
+  double parts_share = 0.3;          // share of the requests that are written in parts
+  double pause_share = 0.05;         // probability of a pause at each point of a turn where one is possible
+  bool lists_in_write_turns = true;  // lists may arrive in a turn in which a connection becomes ready
   WriteOrder write_order = balancer_write_order;
   ModelFault fault = ModelFault::none;
-  double told_window_ratio = 1;  // of the window, that the policy is told
-  int requests = 50;             // without those that clients repeat
+  double configured_window_ratio = 1;  // the policy's window setting as a share of the window
+  int requests = 50;                   // without repetitions by clients
   bool keeps_history = false;
 };
 
 constexpr proxy::RequestNumber request_of(proxy::AttemptId id) {
-  return proxy::RequestNumber{id >> proxy::attempt_bits};
+  return proxy::RequestNumber{id >> proxy::attempt_number_bits};
 }
 constexpr proxy::AttemptId attempt_id(proxy::RequestNumber number, int attempt) {
-  return to_integer(number) << proxy::attempt_bits | static_cast<proxy::AttemptId>(attempt);
+  return to_integer(number) << proxy::attempt_number_bits | static_cast<proxy::AttemptId>(attempt);
 }
 
+// Runs one random sequence of events, determined by the seed.
 class IdempotencyModel final : proxy::RequestActions {
  public:
   explicit IdempotencyModel(const ModelSettings& settings);
 
-  // Plays until all requests are over.
+  // Runs until all requests are over.
   void run();
 
   [[nodiscard]] const RepeatChecker& checker() const { return checker_; }
   [[nodiscard]] double window_ms() const { return window_ms_; }
   [[nodiscard]] int request_count() const { return static_cast<int>(next_call_ - 1); }
-  // What happened to a request, one line an event.
+  // The events of a request, one line each; empty unless `keeps_history` is set.
   [[nodiscard]] const std::string& history(CallId call) { return history_[call]; }
 
-  int withdrawn = 0;               // attempts
-  int hedged = 0;                  // the same
-  int unsent_at_latest_write = 0;  // attempts that ended as never sent, since the window was about to end
-  int lists_in_the_turn_of_a_connection =
-      0;  // connections that came up in the turn of a list of their server
+  int withdrawn = 0;                  // attempts withdrawn because of a list
+  int hedged = 0;                     // hedged attempts
+  int unsent_at_send_deadline = 0;    // attempts that ended as never sent at their send deadline
+  int lists_in_connection_turns = 0;  // dials that succeeded in the turn of a list that changes their server
 
  private:
   static constexpr int server_count = 8, zone_count = 2, cell_count = 3;
   static constexpr std::uint8_t attempt_due_kind = 1, connection_due_kind = 2;
 
-  // A name of the endpoint list, and the process that serves it.
+  // A name in the endpoint list, and the process that serves under this name.
   struct Server {
     Place place;
     bool is_listed = true;
     bool is_draining = false;
     double up_since_ms = 0;
-    int process = 0;             // the one that runs
-    int listed_process = 0;      // the one that the balancer's list knows
-    std::size_t reached = 0;     // the server that a dial to its address reaches
-    double taking_until_ms = 0;  // when the last byte on its way to it will have come
+    int process = 0;                // the running process
+    int listed_process = 0;         // the process in the balancer's list
+    std::size_t reached = 0;        // the server that a dial to this server's address reaches
+    double receiving_until_ms = 0;  // when the last byte under way to the server is received
     bool has_unlisted_change = false;
 
     [[nodiscard]] bool accepts_attempts() const { return is_listed && !is_draining; }
@@ -100,23 +100,23 @@
     enum class Event : std::uint8_t { none, dial_succeeded, writable, response, broken };
     State state = State::dialling;
     std::size_t server = 0;
-    int listed_process = 0;   // at the dial
-    std::size_t reached = 0;  // the server that accepted it
-    int process = 0;          // the same server's process
+    int listed_process = 0;   // the server's listed process at the dial
+    std::size_t reached = 0;  // the server that accepted the connection
+    int process = 0;          // the process that accepted the connection
     proxy::AttemptId attempt = 0;
-    Event event = Event::none;  // the next one of the socket
+    Event event = Event::none;  // the next event of the socket
     double event_at_ms = never;
     Outcome outcome = Outcome::succeeded;  // of the response
-    double due_ms = never;                 // of the dial or of the settling
+    double due_ms = never;                 // end of the dial or of settling
   };
-  struct FlyingAttempt {
+  struct ActiveAttempt {
     proxy::UpstreamAttempt value;
-    int parts_left = 1;  // of the request, to be written
+    int parts_left = 1;  // parts of the request still to be written
     double send_by_ms = never;
   };
   struct Call {
     Request request;
-    double leaves_at_ms = never;
+    double client_leaves_at_ms = never;
   };
   struct Command {
     proxy::RequestNumber request{0};
@@ -129,14 +129,14 @@
     Outcome outcome = Outcome::error;
   };
   using Connections = std::map<proxy::ConnectionId, Connection>;
-  using Attempts = std::map<proxy::AttemptId, FlyingAttempt>;
+  using Attempts = std::map<proxy::AttemptId, ActiveAttempt>;
 
   [[nodiscard]] Settings policy_settings() const;
   void list_all();
 
-  // The loop. The order of its parts is that of Balancer::run() and Balancer::gather_events().
+  // The loop. The order of its steps must match Balancer::run() and Balancer::gather_events().
   void take_turn();
-  void maybe_hold();
+  void maybe_pause();
   [[nodiscard]] double next_event_ms() const;
   void socket_events();
   void lists();
@@ -149,9 +149,9 @@
   void tick();
 
   // Whether the balancer may write to the attempt's connection by the clock of this turn.
-  [[nodiscard]] bool may_be_written(const FlyingAttempt& attempt) const;
+  [[nodiscard]] bool may_be_written(const ActiveAttempt& attempt) const;
 
-  // Attempts and connections, as Upstreams treats them.
+  // Attempts and connections; must match the behaviour of Upstreams.
   void start(proxy::AttemptId id, std::size_t server, const AttemptTimeout& timeout);
   void cancel(proxy::AttemptId id);
   bool abandon_unsent(proxy::AttemptId id);
@@ -159,7 +159,7 @@
   void attempt_due(proxy::AttemptId id);
   void release_connection(proxy::AttemptId id);
   void complete(proxy::AttemptId id, Outcome outcome);
-  void set_due(proxy::AttemptId id, FlyingAttempt& attempt, double at_ms);
+  void set_due(proxy::AttemptId id, ActiveAttempt& attempt, double at_ms);
   void dial_for_waiting(std::size_t server);
   void fail_next_waiting(std::size_t server);
   void dial(std::size_t server);
@@ -178,13 +178,13 @@
 
   // Servers and clients.
   void last_byte_written(Connection& connection);
-  // Whether the server rejects the request.
-  bool draw_response(Connection& connection, double came_at_ms);
+  // Draws the response to a request; true if the server rejects the request.
+  bool draw_response(Connection& connection, double received_at_ms);
   void servers_change();
-  [[nodiscard]] std::size_t awaited_server(std::size_t otherwise) const;
+  [[nodiscard]] std::size_t server_of_unsent_attempt(std::size_t otherwise) const;
   [[nodiscard]] bool has_ready_connection(std::size_t server) const;
-  // The server of a connection that becomes ready in this turn for a further attempt; server_count: there is
-  // none.
+  // The server of a connection that becomes ready in this turn for a retry or a hedged attempt; server_count
+  // if there is none.
   [[nodiscard]] std::size_t server_about_to_be_written() const;
   void change(std::size_t index);
   void replace_process(std::size_t index);
@@ -195,7 +195,7 @@
   [[nodiscard]] int attempts_in_flight(proxy::RequestNumber number) const;
   void note(proxy::RequestNumber number, const std::string& text);
 
-  // The policy's answers.
+  // RequestActions.
   void start_attempt(proxy::RequestNumber number, int attempt, EndpointIndex endpoint,
                      const AttemptTimeout& timeout) override;
   void reject(proxy::RequestNumber number, double retry_after_ms, RejectionReason reason) override;
@@ -207,13 +207,13 @@
   void released(proxy::RequestNumber number) override;
 
   ModelSettings settings_;
-  Chance chance_;
+  RandomSource random_;
   double window_ms_;
   double dial_timeout_ms_;
   static constexpr double began_ms = 100000;
-  double real_ms_ = began_ms;   // what the time is
-  double clock_ms_ = real_ms_;  // the clock of this turn, read at its beginning
-  double held_ms_ = 0;          // in this turn
+  double real_ms_ = began_ms;   // the actual simulated time
+  double clock_ms_ = real_ms_;  // the balancer's clock, read at the beginning of the turn
+  double pause_ms_ = 0;         // length of the pause in this turn, if any
   double next_request_at_ms_ = real_ms_;
   double next_change_at_ms_ = real_ms_;
   double next_tick_at_ms_ = real_ms_;
@@ -225,9 +225,9 @@
   std::array<std::deque<proxy::AttemptId>, server_count> waiting_;  // for a connection, by server
   Connections connections_;
   Attempts attempts_;
-  std::map<proxy::RequestNumber, Call> calls_;       // open ones
-  std::vector<std::pair<double, int>> repetitions_;  // time and class of requests whose clients come again
-  std::vector<proxy::ConnectionId> ready_;           // to be written to in this turn
+  std::map<proxy::RequestNumber, Call> calls_;          // open requests
+  std::vector<std::pair<double, int>> repetitions_;     // time and class of requests that clients repeat
+  std::vector<proxy::ConnectionId> ready_connections_;  // to be written to in this turn
   std::vector<AttemptEnd> ends_;
   std::vector<Command> commands_;
   std::map<CallId, std::string> history_;
--- a/tests/proxy/upstream/upstream_parts_test.cpp
+++ b/tests/proxy/upstream/upstream_parts_test.cpp
@@ -1,4 +1,4 @@
-// Parts of the upstream connections: endpoint indices and addresses, the idle timeout, attempt timeouts; and
+// The parts of upstream connections: endpoint indices and addresses, the idle timeout, attempt timeouts; and
 // the states of connections and attempts, on sockets.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -20,18 +20,18 @@
 constexpr auto address = "127.0.0.1:1000";
 constexpr auto other_address = "127.0.0.1:2000";
 
-// One listed endpoint.
-struct OneServer {
+// Endpoint slots with one listed endpoint.
+struct ListedEndpoint {
   EndpointSlots slots;
   EndpointIndex endpoint = slots.add("a");
-  OneServer() { slots.update(endpoint, address, 1, true); }
+  ListedEndpoint() { slots.update(endpoint, address, 1, true); }
 };
 
-TEST(EndpointSlots, AnotherAddressOrStartIsAnotherProcess) {
-  OneServer s;
+TEST(EndpointSlots, NewAddressOrStartTimeMeansNewProcess) {
+  ListedEndpoint s;
   auto generation = s.slots.generation(s.endpoint);
   EXPECT_FALSE(s.slots.update(s.endpoint, address, 1, true));
-  EXPECT_FALSE(s.slots.update(s.endpoint, "", 1, true)) << "it stays where it was";
+  EXPECT_FALSE(s.slots.update(s.endpoint, "", 1, true)) << "the known address is kept";
   EXPECT_EQ(s.slots.generation(s.endpoint), generation);
   EXPECT_TRUE(s.slots.update(s.endpoint, address, 2, true));
   EXPECT_TRUE(s.slots.update(s.endpoint, other_address, 2, true));
@@ -41,8 +41,8 @@
   EXPECT_EQ(s.slots.broken_invariant(), std::nullopt);
 }
 
-TEST(EndpointSlots, AnAddressThatCanNotBeReadLeavesNoneToDial) {
-  OneServer s;
+TEST(EndpointSlots, InvalidAddressLeavesNoAddressToDial) {
+  ListedEndpoint s;
   EXPECT_TRUE(s.slots.update(s.endpoint, "nowhere", 1, true));
   EXPECT_FALSE(s.slots.dial_address(s.endpoint));
   EXPECT_EQ(s.slots.address(s.endpoint), "nowhere");
@@ -50,30 +50,30 @@
 }
 
 TEST(EndpointSlots, AcceptsAttemptsWhileListedActiveAndNotDrained) {
-  OneServer s;
+  ListedEndpoint s;
   EXPECT_TRUE(s.slots.accepts_attempts(s.endpoint));
   s.slots.update(s.endpoint, address, 1, false);
   EXPECT_FALSE(s.slots.accepts_attempts(s.endpoint));
   s.slots.update(s.endpoint, address, 1, true);
   s.slots.set_manual_drain(s.endpoint, true);
   s.slots.update(s.endpoint, address, 1, true);
-  EXPECT_FALSE(s.slots.accepts_attempts(s.endpoint)) << "whatever is listed";
+  EXPECT_FALSE(s.slots.accepts_attempts(s.endpoint)) << "a manual drain overrides the list";
   auto generation = s.slots.generation(s.endpoint);
   s.slots.set_manual_drain(s.endpoint, false);
   EXPECT_TRUE(s.slots.accepts_attempts(s.endpoint));
-  EXPECT_GT(s.slots.generation(s.endpoint), generation) << "it may have been started anew meanwhile";
+  EXPECT_GT(s.slots.generation(s.endpoint), generation) << "the endpoint may have been restarted";
   EXPECT_TRUE(s.slots.remove(s.endpoint));
   EXPECT_FALSE(s.slots.remove(s.endpoint));
   EXPECT_FALSE(s.slots.accepts_attempts(s.endpoint));
   EXPECT_EQ(s.slots.broken_invariant(), std::nullopt);
 }
 
-TEST(EndpointSlots, AnIndexIsReclaimedOnceItIsNotInUse) {
-  OneServer s;
+TEST(EndpointSlots, IndexIsReclaimedOnceNotInUse) {
+  ListedEndpoint s;
   s.slots.remove(s.endpoint);
   s.slots.reclaim([](EndpointIndex) { return true; });
   EXPECT_EQ(s.slots.find("a"), s.endpoint);
-  s.slots.update(s.endpoint, address, 1, true);  // it comes back
+  s.slots.update(s.endpoint, address, 1, true);  // listed again
   s.slots.reclaim([](EndpointIndex) { return false; });
   EXPECT_EQ(s.slots.find("a"), s.endpoint);
   s.slots.remove(s.endpoint);
@@ -85,29 +85,29 @@
 }
 
 constexpr double idle_timeout_ms = 30000;
-constexpr double usable_ms = 0.8 * idle_timeout_ms;
+constexpr double max_reuse_idle_ms = 0.8 * idle_timeout_ms;
 
-TEST(IdleTimeoutEstimator, ClosesOfSeveralEndpointsShortenItForAWhile) {
+TEST(IdleTimeoutEstimator, ClosesOfSeveralEndpointsLowerTheTimeout) {
   IdleTimeoutEstimator estimator(idle_timeout_ms);
-  EXPECT_EQ(estimator.usable_ms(0), usable_ms);
+  EXPECT_EQ(estimator.max_reuse_idle_ms(0), max_reuse_idle_ms);
   for (int i = 0; i < 5; ++i) {
-    EXPECT_EQ(estimator.usable_ms(0), usable_ms) << i;
+    EXPECT_EQ(estimator.max_reuse_idle_ms(0), max_reuse_idle_ms) << i;
     estimator.closed_by_endpoint(EndpointIndex{i % 3}, 1000 + i, 0);
   }
-  EXPECT_EQ(estimator.usable_ms(0), 0.35 * 1000);
-  EXPECT_EQ(estimator.usable_ms(10000), 0.35 * 1000);
-  EXPECT_EQ(estimator.usable_ms(10001), usable_ms);
-  EXPECT_EQ(estimator.close_after_ms(), usable_ms);
+  EXPECT_EQ(estimator.max_reuse_idle_ms(0), 0.35 * 1000);
+  EXPECT_EQ(estimator.max_reuse_idle_ms(10000), 0.35 * 1000);
+  EXPECT_EQ(estimator.max_reuse_idle_ms(10001), max_reuse_idle_ms);
+  EXPECT_EQ(estimator.close_after_ms(), max_reuse_idle_ms);
 }
 
-TEST(IdleTimeoutEstimator, IgnoresADyingEndpointAndClosesAfterAResponse) {
+TEST(IdleTimeoutEstimator, IgnoresOneEndpointAndClosesAfterAResponse) {
   IdleTimeoutEstimator estimator(idle_timeout_ms);
   for (int i = 0; i < 20; ++i) estimator.closed_by_endpoint(EndpointIndex{0}, 1000, 0);
   for (int i = 0; i < 20; ++i) estimator.closed_by_endpoint(EndpointIndex{i}, 49, 0);
-  EXPECT_EQ(estimator.usable_ms(0), usable_ms);
+  EXPECT_EQ(estimator.max_reuse_idle_ms(0), max_reuse_idle_ms);
 }
 
-// A health check, which needs no message. Its timeouts are those of any attempt.
+// An attempt with these deadlines: a health check, because it needs no message and has the same timeouts.
 UpstreamAttempt attempt_until(double connect_by_ms, double send_by_ms, double limit_at_ms) {
   return {EndpointIndex{0},
           UpstreamRequest::health_check("/load"),
@@ -119,18 +119,18 @@
 
 TEST(UpstreamAttempt, EachPhaseHasItsDeadline) {
   auto attempt = attempt_until(10, 20, 30);
-  EXPECT_EQ(attempt.give_up_at_ms(), 10);
+  EXPECT_EQ(attempt.timeout_at_ms(), 10);
   EXPECT_TRUE(attempt.is_never_sent(10));
   attempt.connected(7);
   EXPECT_EQ(attempt.connection(), 7u);
-  EXPECT_EQ(attempt.give_up_at_ms(), 20);
-  EXPECT_FALSE(attempt.is_never_sent(19)) << "part of it may have gone out";
+  EXPECT_EQ(attempt.timeout_at_ms(), 20);
+  EXPECT_FALSE(attempt.is_never_sent(19)) << "the request may be partly written";
   EXPECT_TRUE(attempt.is_never_sent(20));
   attempt.request_sent();
-  EXPECT_EQ(attempt.give_up_at_ms(), 30);
+  EXPECT_EQ(attempt.timeout_at_ms(), 30);
   EXPECT_FALSE(attempt.is_never_sent(30));
-  auto impatient = attempt_until(10, 20, 5);
-  EXPECT_EQ(impatient.give_up_at_ms(), 5);
+  auto short_limit_attempt = attempt_until(10, 20, 5);
+  EXPECT_EQ(short_limit_attempt.timeout_at_ms(), 5);
 }
 
 TEST(UpstreamAttempt, StreamedResponseIsDueByItsTimeUnlessLarge) {
@@ -138,21 +138,21 @@
   attempt.connected(7);
   attempt.request_sent();
   attempt.stream_response();
-  EXPECT_EQ(attempt.stall_at_ms(100, false), 10100) << "no due time is known yet";
+  EXPECT_EQ(attempt.stall_timeout_at_ms(100, false), 10100) << "no due time is set";
   attempt.set_response_due_at_ms(1000);
-  EXPECT_EQ(attempt.stall_at_ms(100, false), 1000);
-  EXPECT_EQ(attempt.stall_at_ms(900, false), 1100) << "a late byte at a time";
-  EXPECT_EQ(attempt.stall_at_ms(1300, false), 1400) << "so much beyond it at most";
-  EXPECT_EQ(attempt.stall_at_ms(1300, true), 11300);
+  EXPECT_EQ(attempt.stall_timeout_at_ms(100, false), 1000);
+  EXPECT_EQ(attempt.stall_timeout_at_ms(900, false), 1100) << "the longest gap between late bytes";
+  EXPECT_EQ(attempt.stall_timeout_at_ms(1300, false), 1400) << "the maximum lateness";
+  EXPECT_EQ(attempt.stall_timeout_at_ms(1300, true), 11300);
   attempt.pause_response();
-  EXPECT_EQ(attempt.stall_at_ms(1300, false), transport::DueTimes::none);
+  EXPECT_EQ(attempt.stall_timeout_at_ms(1300, false), transport::DueTimes::none);
   attempt.resume_response();
   attempt.response_received(protocol::max_buffered_body + 1);
-  EXPECT_EQ(attempt.stall_at_ms(1300, false), 11300) << "larger than what is held at a time";
+  EXPECT_EQ(attempt.stall_timeout_at_ms(1300, false), 11300) << "larger than the buffer";
 }
 
-// One endpoint, played by the test, which also sets the clock. Checks the invariants after each batch.
-struct OneEndpoint : transport::Ready {
+// Upstreams with one endpoint that the test plays. The test sets the clock; run_loop() checks the invariants.
+struct UpstreamsWithEndpoint : transport::Ready {
   transport::Loop loop;
   transport::Pool buffers{64};
   transport::DueTimes due_times;
@@ -164,14 +164,14 @@
         return false;
       }};
   SharedMessage request = std::make_shared<protocol::Message>(buffers, protocol::Message::Kind::request);
-  transport::Fd connection;  // accepted last
+  transport::Fd connection;  // the last accepted one
 
-  OneEndpoint() {
+  UpstreamsWithEndpoint() {
     upstreams.update_address(upstreams.index_of("a"), listener.address().text(), 0, true);
     request->feed("GET /page HTTP/1.1\r\nHost: a\r\n\r\n");
   }
   void ready(std::uint32_t) override {}
-  void turns() {
+  void run_loop() {
     for (int i = 0; i < 5; ++i) {
       loop.wait(1);
       loop.dispatch();
@@ -182,30 +182,30 @@
   }
   void start(AttemptId id) {
     upstreams.start(id, EndpointIndex{0}, request, {.limit_ms = 60000});
-    turns();
+    run_loop();
   }
   bool accept() {
     bool out_of_descriptors = false;
     auto accepted = listener.accept(out_of_descriptors);
     if (!accepted) return false;
     connection = std::move(accepted);
-    turns();
+    run_loop();
     return true;
   }
-  // Whether a request was received on the connection accepted last.
-  bool request_came() const {
+  // Whether the endpoint has received a request on the last accepted connection.
+  bool has_received_request() const {
     char bytes[4096];
     return recv(connection.get(), bytes, sizeof bytes, MSG_DONTWAIT) > 0;
   }
   void send_response(const std::string& bytes) {
     auto sent = send(connection.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     EXPECT_EQ(sent, static_cast<ssize_t>(bytes.size()));
-    turns();
+    run_loop();
   }
-  void pass_ms(double ms) {
+  void advance_ms(double ms) {
     now_ms += ms;
     while (auto key = due_times.first(now_ms)) upstreams.deadline_reached(*key);
-    turns();
+    run_loop();
   }
   std::vector<AttemptEvent> take_events() { return std::exchange(upstreams.events(), {}); }
   std::vector<Outcome> take_outcomes() {
@@ -217,49 +217,49 @@
 using Outcomes = std::vector<Outcome>;
 constexpr auto small_response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-TEST(Upstreams, AConnectionServesTheNextAttemptOnceItHasSettled) {
-  OneEndpoint e;
+TEST(Upstreams, SettledConnectionServesTheNextAttempt) {
+  UpstreamsWithEndpoint e;
   e.start(1);
   ASSERT_TRUE(e.accept());
-  EXPECT_TRUE(e.request_came());
+  EXPECT_TRUE(e.has_received_request());
   e.send_response(small_response);
   EXPECT_EQ(e.take_outcomes(), Outcomes{Outcome::succeeded});
-  e.pass_ms(e.settings.settle_ms);
+  e.advance_ms(e.settings.settle_ms);
   e.start(2);
-  EXPECT_TRUE(e.request_came());
-  EXPECT_FALSE(e.accept()) << "a second connection";
+  EXPECT_TRUE(e.has_received_request());
+  EXPECT_FALSE(e.accept()) << "a second connection was dialled";
   e.connection.close();
-  e.turns();
+  e.run_loop();
   EXPECT_EQ(e.take_outcomes(), Outcomes{Outcome::reset});
 }
 
 TEST(Upstreams, IdleConnectionClosesOnExpiryOrEndpointRemoval) {
   for (bool removed : {true, false}) {
-    OneEndpoint e;
+    UpstreamsWithEndpoint e;
     e.start(1);
     ASSERT_TRUE(e.accept());
-    EXPECT_TRUE(e.request_came());
+    EXPECT_TRUE(e.has_received_request());
     e.send_response(small_response);
-    e.pass_ms(e.settings.settle_ms);
+    e.advance_ms(e.settings.settle_ms);
     if (removed) {
       e.upstreams.remove(EndpointIndex{0});
     } else {
-      e.pass_ms(0.8 * e.settings.idle_timeout_ms);
+      e.advance_ms(0.8 * e.settings.idle_timeout_ms);
       e.upstreams.close_expired_connections();
     }
-    e.turns();
+    e.run_loop();
     char byte = 0;
-    EXPECT_EQ(recv(e.connection.get(), &byte, 1, MSG_DONTWAIT), 0) << "its end; removed: " << removed;
+    EXPECT_EQ(recv(e.connection.get(), &byte, 1, MSG_DONTWAIT), 0) << "not closed; removed: " << removed;
   }
 }
 
 TEST(Upstreams, LargeResponseStreamsAndPausesUntilDrained) {
   constexpr std::size_t size = 100000;
   constexpr std::size_t piece = 10000;
-  OneEndpoint e;
+  UpstreamsWithEndpoint e;
   e.start(1);
   ASSERT_TRUE(e.accept());
-  EXPECT_TRUE(e.request_came());
+  EXPECT_TRUE(e.has_received_request());
   e.send_response("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(size) + "\r\n\r\n");
   auto events = e.take_events();
   ASSERT_EQ(events.size(), 2u);
@@ -268,16 +268,16 @@
   auto response = events[0].response;
   for (std::size_t i = 0; i < size / piece; ++i) e.send_response(std::string(piece, 'x'));
   EXPECT_TRUE(response->buffer_full());
-  EXPECT_EQ(e.due_times.next(), transport::DueTimes::none) << "paused: it waits for its client";
+  EXPECT_EQ(e.due_times.next(), transport::DueTimes::none) << "a paused response has no timeout";
   EXPECT_FALSE(response->extract_body().empty());
   e.take_events();
   e.upstreams.resume_response(1);
-  e.turns();
+  e.run_loop();
   events = e.take_events();
   ASSERT_FALSE(events.empty());
   EXPECT_EQ(events.back().kind, AttemptEvent::Kind::completed);
   EXPECT_EQ(events.back().outcome, Outcome::succeeded);
-  EXPECT_EQ(events.back().response, nullptr) << "it had been started";
+  EXPECT_EQ(events.back().response, nullptr) << "the response was streamed";
   EXPECT_TRUE(response->complete());
 }
 
--- a/tests/proxy/upstream/upstreams_test.cpp
+++ b/tests/proxy/upstream/upstreams_test.cpp
@@ -1,5 +1,5 @@
-// Upstreams alone: endpoint indices, and attempts over connections to a server that the test plays on its own
-// event loop.
+// Upstreams without a balancer: endpoint indices, and attempts over connections to a server that the test
+// plays.
 #include "proxy/upstream/upstreams.hpp"
 
 #include <gtest/gtest.h>
@@ -21,8 +21,9 @@
 
 using protocol::Message;
 
-// New names don't grow the table, and an index is reused only when its former endpoint has no state left.
-TEST(Upstreams, ReuseAnIndexOnceNothingIsLeftOfItsServer) {
+// Guards against a table that grows with each new name, and against an index that is reused while state of
+// its former endpoint is left.
+TEST(Upstreams, ReuseAnIndexOnceItsEndpointHasNoState) {
   transport::Loop loop;
   transport::Pool pool(4);
   transport::DueTimes due;
@@ -46,7 +47,7 @@
   EXPECT_EQ(upstreams.endpoints().size(), 2u);
 }
 
-// One server, played by the test, and attempts of one request there. The test sets the clock.
+// Attempts of one request at one server that the test plays. The test sets the clock.
 struct UpstreamsFixture : transport::Ready {
   transport::Loop loop;
   transport::Pool pool{64};
@@ -84,7 +85,7 @@
     return outcomes;
   }
   // The bytes that the server receives on its next connection; empty if there is none.
-  std::string received_by_server() {
+  std::string accept_and_receive() {
     run_loop();
     bool full = false;
     auto fd = listener.accept(full);
@@ -98,9 +99,9 @@
 };
 using Outcomes = std::vector<Outcome>;
 
-// An attempt that is abandoned, cancelled or timed out, in any order, completes once; an attempt that was not
-// sent to its last byte ends as not executed.
-TEST(Upstreams, AnAttemptEndsOnceWhateverEndsItTwice) {
+// Guards against a second outcome of an attempt that is abandoned, cancelled or timed out in any order. An
+// attempt that was not sent to its last byte ends as not executed.
+TEST(Upstreams, AnAttemptEndsOnceWhenEndedTwice) {
   {
     UpstreamsFixture fixture;  // waits for a connection
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
@@ -109,7 +110,7 @@
     fixture.upstreams.abandon_unsent(1);
     EXPECT_FALSE(fixture.upstreams.cancel(1));
     EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::superseded});
-    EXPECT_EQ(fixture.received_by_server(), "");
+    EXPECT_EQ(fixture.accept_and_receive(), "");
     fixture.now_ms += 600;
     while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
     EXPECT_EQ(fixture.take_outcomes(), Outcomes{});
@@ -118,7 +119,7 @@
     UpstreamsFixture fixture;  // sent to the last byte: only cancel() ends it
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                             {.limit_ms = 500, .streaming_budget_ms = 500});
-    EXPECT_NE(fixture.received_by_server(), "");
+    EXPECT_NE(fixture.accept_and_receive(), "");
     fixture.upstreams.abandon_unsent(1);
     EXPECT_EQ(fixture.take_outcomes(), Outcomes{});
     EXPECT_TRUE(fixture.upstreams.cancel(1));
@@ -129,7 +130,7 @@
     UpstreamsFixture fixture;  // times out, and is cancelled in the same turn
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                             {.limit_ms = 500, .streaming_budget_ms = 500});
-    EXPECT_NE(fixture.received_by_server(), "");
+    EXPECT_NE(fixture.accept_and_receive(), "");
     fixture.now_ms += 600;
     while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
     EXPECT_FALSE(fixture.upstreams.cancel(1));
@@ -138,13 +139,13 @@
   }
 }
 
-// The connection is established in the turn in which the attempt times out. If it were sent then, it would be
-// abandoned after its last byte, and a non-idempotent request could not be retried.
+// Guards against a request that is sent in the turn in which its attempt times out, over a connection
+// established in that turn: after the last byte a non-idempotent request could not be retried.
 TEST(Upstreams, SendNothingOverAConnectionEstablishedTooLate) {
   UpstreamsFixture fixture;
   fixture.upstreams.start(1, EndpointIndex{0}, fixture.request, {.limit_ms = 50, .streaming_budget_ms = 50});
   fixture.now_ms += 60;
-  EXPECT_EQ(fixture.received_by_server(), "");
+  EXPECT_EQ(fixture.accept_and_receive(), "");
   while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
   EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
   fixture.upstreams.start(
@@ -155,50 +156,52 @@
   EXPECT_GT(recv(fixture.connections.back().get(), bytes, sizeof bytes, MSG_DONTWAIT), 0);
 }
 
-// The body is complete, and the attempt's limit starts, during the dial: the limit bounds the wait, not the
-// longer dial timeout.
-TEST(Upstreams, ALimitHoldsForWhatStillWaitsForItsConnection) {
+// Guards against a wait for the longer dial timeout when the body becomes complete during the dial: the
+// attempt's time limit starts then and also bounds the dial.
+TEST(Upstreams, TimeLimitAppliesToAWaitingAttempt) {
   UpstreamsFixture fixture;
-  auto arriving = std::make_shared<Message>(fixture.pool, Message::Kind::request, Message::Body::streaming);
-  arriving->feed("POST /pay HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\nContent-Length: 2\r\n\r\nh");
-  fixture.upstreams.start(1, EndpointIndex{0}, arriving, {.limit_ms = 3600000, .streaming_budget_ms = 50});
+  auto incoming_request =
+      std::make_shared<Message>(fixture.pool, Message::Kind::request, Message::Body::streaming);
+  incoming_request->feed("POST /pay HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\nContent-Length: 2\r\n\r\nh");
+  fixture.upstreams.start(1, EndpointIndex{0}, incoming_request,
+                          {.limit_ms = 3600000, .streaming_budget_ms = 50});
   fixture.now_ms += 10;
-  arriving->feed("i");
+  incoming_request->feed("i");
   fixture.upstreams.set_limit(1, 50);
   fixture.now_ms += 60;
   while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
   EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
 }
 
-// The window of the idempotency key ends during the wait for a connection: sent then, the request could
-// execute twice.
-TEST(Upstreams, SendNoAttemptThatMissedItsLatestMoment) {
+// Guards against a second execution: the window of the idempotency key ends while the attempt waits for a
+// connection, so the request must not be sent.
+TEST(Upstreams, SendNoAttemptAfterItsSendDeadline) {
   for (bool at_once : {true, false}) {
     UpstreamsFixture fixture;
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                             {.limit_ms = 500, .send_by_ms = 50, .streaming_budget_ms = 500});
     fixture.now_ms += 60;
     if (at_once) {  // connected in the turn in which the window ends
-      EXPECT_EQ(fixture.received_by_server(), "");
+      EXPECT_EQ(fixture.accept_and_receive(), "");
       EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
     } else {
       while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
       EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
-      EXPECT_EQ(fixture.received_by_server(), "");
+      EXPECT_EQ(fixture.accept_and_receive(), "");
     }
   }
   UpstreamsFixture fixture;  // sent in time: the response may take until the limit
   fixture.upstreams.start(1, EndpointIndex{0}, fixture.request,
                           {.limit_ms = 500, .send_by_ms = 50, .streaming_budget_ms = 500});
-  EXPECT_NE(fixture.received_by_server(), "");
+  EXPECT_NE(fixture.accept_and_receive(), "");
   fixture.now_ms += 400;
   while (auto key = fixture.due.first(fixture.now_ms)) fixture.upstreams.deadline_reached(*key);
   EXPECT_EQ(fixture.take_outcomes(), Outcomes{});
 }
 
-// A list comes in the turn in which the connection comes up, and puts the endpoint into another group: sent
-// before the list is applied, the request could execute twice.
-TEST(Upstreams, SendNoAttemptWithdrawnInThatTurn) {
+// Guards against a second execution: in the turn in which the connection is established, a list moves the
+// endpoint to another group, so the request must not be sent before the list is applied.
+TEST(Upstreams, SendNoAttemptWithdrawnInTheSameTurn) {
   for (bool withdrawn : {true, false}) {
     UpstreamsFixture fixture;
     fixture.upstreams.start(1, EndpointIndex{0}, fixture.request, {.limit_ms = 500});
@@ -206,17 +209,18 @@
     fixture.loop.dispatch();
     if (withdrawn) fixture.upstreams.abandon_unsent(1);
     fixture.upstreams.send_requests();
-    EXPECT_EQ(fixture.received_by_server().empty(), withdrawn);
+    EXPECT_EQ(fixture.accept_and_receive().empty(), withdrawn);
     EXPECT_EQ(fixture.take_outcomes(), withdrawn ? Outcomes{Outcome::superseded} : Outcomes{});
   }
 }
 
-// A turn takes so long that the window of the idempotency key ends between its start and the write.
-TEST(Upstreams, SendNoAttemptBehindItsWindowInALongTurn) {
+// Guards against a second execution: a turn takes so long that the window of the idempotency key ends between
+// the start of the turn and the write.
+TEST(Upstreams, SendNoAttemptAfterItsWindowInALongTurn) {
   UpstreamsFixture fixture;
   fixture.upstreams.start(1, EndpointIndex{0}, fixture.request, {.limit_ms = 500, .send_by_ms = 50});
   fixture.turn_age_ms = 60;
-  EXPECT_EQ(fixture.received_by_server(), "");
+  EXPECT_EQ(fixture.accept_and_receive(), "");
   EXPECT_EQ(fixture.take_outcomes(), Outcomes{Outcome::unreachable});
 }
 
