--- a/src/fleet/broken_invariant.cpp
+++ b/src/fleet/broken_invariant.cpp
@@ -8,24 +8,24 @@
 
 namespace {
 
-// By Invariant.
+// Indexed by Invariant.
 constexpr std::array<std::string_view, static_cast<std::size_t>(Invariant::count)> invariant_texts{
     "token bucket is overdrawn",
     "token bucket exceeds its capacity",
-    "own share is used during the quarantine",
+    "own rate is above 0 during the quarantine",
     "too many counterparties",
     "counterparty is listed twice",
-    "lease is dominated by another one",
-    "limits and quotas differ in number",
-    "limits in force and limits of the file differ in number",
-    "quarantine is set without an address, or missing with one",
-    "share is owned before the quarantine's end",
-    "unowned share is used",
+    "lease is dominated by another lease",
+    "number of quotas differs from number of limits",
+    "number of limits in force differs from number of limits in the file",
+    "quarantine end is set without a bound address, or missing with a bound address",
+    "own share is in use before the quarantine's end",
+    "available rate exceeds the borrowed rate without ownership of the share",
     "too many origins",
     "too many sightings of an origin",
     "own unhealthy share was received from a peer",
-    "suspect exists without an own origin",
-    "suspect was seen failing before it was suspected",
+    "server is suspected, but this instance has no sightings",
+    "failing sighting of a suspected server is older than the suspicion",
 };
 
 }  // namespace
--- a/src/fleet/broken_invariant.hpp
+++ b/src/fleet/broken_invariant.hpp
@@ -1,4 +1,4 @@
-// The invariants that the values of src/fleet/ check about themselves, for tests after every step.
+// Invariants of the classes in src/fleet/. Tests check them after every step through broken_invariant().
 #pragma once
 
 #include <cstdint>
@@ -16,29 +16,29 @@
   counterparties_distinct,
   leases_not_dominated,
   // SharedLimits
-  one_quota_per_limit,
-  file_limits_in_force,
+  quota_count_matches_limits,
+  limit_count_matches_file,
   quarantine_needs_address,
   quarantine_elapsed,
   unowned_share_unused,
   // OutlierVerdicts
   origins_bounded,
   sightings_bounded,
-  own_share_not_received,
+  own_health_not_received,
   suspects_need_own_origin,
   suspects_seen_after_onset,
   count
 };
 
-// An invariant that does not hold, with the value that breaks it and the bound that the value must keep.
+// A violated invariant: the offending value and the bound that it violates.
 struct BrokenInvariant {
   Invariant invariant{};
   double value = 0;
   double bound = 0;
-  std::string subject{};  // name or id of the object, where there are several
+  std::string subject{};  // name or id of the object; empty where the object is unique
 };
 
-// One line of text; empty where no invariant is broken.
+// One line of text; empty where all invariants hold.
 std::string describe(const std::optional<BrokenInvariant>& broken);
 
 }  // namespace meadowgauge::fleet
--- a/src/fleet/config.cpp
+++ b/src/fleet/config.cpp
@@ -15,9 +15,10 @@
 namespace {
 
 constexpr std::size_t max_members = 2048;
-constexpr std::string_view other_tenants_name = "(others)";  // in the file: all tenants it does not name
+constexpr std::string_view other_tenants_name = "(others)";  // all tenants that the file does not name
 
-// Up to ten significant digits. Part of the digest: every instance must write a value alike.
+// Formats with up to ten significant digits. The digest covers this text, so all instances must format a
+// value identically.
 std::string to_text(double value) {
   std::ostringstream text;
   text.precision(10);
@@ -25,7 +26,7 @@
   return text.str();
 }
 
-// The position of `name`; -1 where it is absent.
+// Returns the position of `name`, or -1 if it is absent.
 int index_in(const std::vector<std::string>& names, const std::string& name) {
   auto it = std::find(names.begin(), names.end(), name);
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
@@ -44,7 +45,7 @@
   return index >= 0 ? index : match_none;
 }
 
-// Reads [[fleet.peers]] and checks that names and addresses are unique.
+// Reads [[fleet.peers]] and checks that the names and addresses are unique.
 class MemberReader {
  public:
   void read(Reader& table) {
@@ -71,7 +72,7 @@
   std::set<std::string> addresses_;
 };
 
-// The keys of [fleet]; their names are those of docs/operate/fleet.md.
+// Reads the keys of [fleet], which docs/operate/fleet.md describes.
 void read_fleet(Reader& table, FleetConfig& config) {
   table.need("name");
   table.get("name", config.name);
@@ -93,11 +94,11 @@
   if (!config.name.empty() && !members.has(config.name))
     table.wrong("name", "is not among the peers: " + config.name);
   if (config.members.size() > max_members)
-    table.wrong("peers", "are more than " + std::to_string(max_members));
+    table.wrong("peers", "exceed the maximum of " + std::to_string(max_members));
 }
 
-// This instance's share of each limit: its weight over the sum of all.
-void set_share(FleetConfig& config) {
+// Sets this instance's share of each limit: its weight divided by the sum of all weights.
+void set_own_share(FleetConfig& config) {
   double total = 0;
   for (const auto& member : config.members) total += member.weight;
   for (const auto& member : config.members)
@@ -108,21 +109,22 @@
 void check_limits(Reader& root, const LimitTerms& terms) {
   std::set<std::string> names;
   for (const auto& limit : terms.limits) {
-    if (!names.insert(limit.name).second) root.wrong("limits", "state one twice: " + limit.name);
-    // A request needs a whole token at the instance where it arrives.
+    if (!names.insert(limit.name).second) root.wrong("limits", "contain a duplicate: " + limit.name);
+    // A request takes a whole token at the instance where it arrives, so its bucket must hold at least
+    // one token without leases.
     if (fixed_burst_share * limit.burst / terms.instances < 1)
       root.wrong("limits", "leave less than one request at each instance: burst of " + limit.name +
                                " is below " + to_text(std::ceil(terms.instances / fixed_burst_share)));
   }
   if (terms.limits.size() > membership::max_limits)
-    root.wrong("limits", "of the fleet are more than " + std::to_string(membership::max_limits));
+    root.wrong("limits", "of the fleet exceed the maximum of " + std::to_string(membership::max_limits));
 }
 
 }  // namespace
 
 std::uint64_t FleetConfig::digest() const {
   std::string text = to_text(terms.lease_ms);
-  // Sorted by name: files may list peers in another order.
+  // Sorted by name, since files may list the same peers in different orders.
   std::vector<std::string> lines;
   for (const auto& member : members) lines.push_back(member.name + "=" + to_text(member.weight));
   std::sort(lines.begin(), lines.end());
@@ -134,13 +136,13 @@
 
 std::vector<std::string> FleetConfig::describe_bounds() const {
   std::vector<std::string> lines;
-  double own_after_ms = std::ceil(terms.lease_ms * (1 + lease_drift_ratio));
+  double quarantine_ms = std::ceil(terms.lease_ms * (1 + lease_drift_ratio));
   for (const auto& limit : terms.limits) {
     std::ostringstream line;
     line << "limit " << limit.name << ": over any W ms the fleet admits at most "
          << to_text(limit.rate / 1000) << " * W + " << to_text(limit.burst)
          << "; alone, this instance goes on with " << to_text(limit.rate * terms.share) << " a second, "
-         << to_text(own_after_ms) << " ms after a cut or a start at the latest; at rest it holds "
+         << to_text(quarantine_ms) << " ms after a cut or a start at the latest; at rest it holds "
          << to_text(fixed_burst_share * limit.burst / terms.instances) << " of the burst";
     lines.push_back(line.str());
   }
@@ -168,7 +170,7 @@
   table.get("tenant", limit.tenant_name);
   table.get("prefix", limit.request_class_name);
   if (limit.tenant_name.empty() && limit.request_class_name.empty())
-    table.wrong("tenant", "or a prefix is needed");
+    table.wrong("tenant", "or prefix is required");
   limit.name = limit.tenant_name.empty() ? "*" : limit.tenant_name;
   limit.name += "/" + (limit.request_class_name.empty() ? "*" : limit.request_class_name);
   table.need("rate");
@@ -183,12 +185,12 @@
 std::optional<FleetConfig> FleetConfigReader::read(Reader& root, const std::vector<std::string>& tenants,
                                                    const std::vector<std::string>& request_classes) {
   if (!root.has("fleet")) {
-    if (!limits_.empty()) root.wrong("limits", "holds limits of a fleet, and there is no [fleet]");
+    if (!limits_.empty()) root.wrong("limits", "contain fleet limits, but the file has no [fleet] table");
     return {};
   }
   FleetConfig config;
   root.table("fleet", [&](Reader& table) { read_fleet(table, config); });
-  set_share(config);
+  set_own_share(config);
   config.terms.limits = limits_;
   for (const auto& name : config.resolve_names(tenants, request_classes))
     root.wrong("limits", "name a tenant or a path prefix that is not there: " + name);
--- a/src/fleet/config.hpp
+++ b/src/fleet/config.hpp
@@ -1,5 +1,5 @@
-// The fleet's tables in the operator's file: [fleet], [[fleet.peers]], [[limits.fleet]]. The keys are
-// described in docs/operate/fleet.md.
+// Reads the fleet's tables of the configuration file: [fleet], [[fleet.peers]] and [[limits.fleet]].
+// docs/operate/fleet.md describes the keys.
 #pragma once
 
 #include <cstdint>
@@ -14,44 +14,44 @@
 
 namespace meadowgauge::fleet {
 
-// An instance of the fleet: an entry of [[fleet.peers]].
+// One instance of the fleet, as listed in [[fleet.peers]].
 struct FleetMember {
   std::string name;
-  transport::Address address;  // UDP; source and destination of its datagrams
+  transport::Address address;  // UDP: the instance sends from and receives at this address
   std::string zone;
   std::string region;
   double weight = 1;  // share of each limit, relative to the other members' weights
 };
 
-// The content of [fleet] and [[limits.fleet]], with the values derived from it.
+// The settings in [fleet] and [[limits.fleet]], with the values derived from them.
 struct FleetConfig {
   std::string name;           // this instance's name in `members`
-  transport::Address listen;  // UDP
+  transport::Address listen;  // UDP: the address to bind
   membership::GossipTiming timing;
-  bool verdicts = false;               // whether the instances eject servers together
-  double lease_datagrams_per_s = 200;  // lease requests and grants; gossip is not counted
-  std::vector<FleetMember> members;    // with this instance
+  bool verdicts = false;  // whether the instances share verdicts on servers and eject them together
+  double lease_datagrams_per_s = 200;  // limit on lease requests and grants sent; excludes gossip
+  std::vector<FleetMember> members;    // includes this instance
   LimitTerms terms;
-  std::vector<std::string> tenants;          // by their index
-  std::vector<std::string> request_classes;  // by their index
+  std::vector<std::string> tenants;          // names by tenant index
+  std::vector<std::string> request_classes;  // names by request class index
 
-  // Sets each limit's tenant and class index by the lists that the process started with. Returns the limits
-  // with an unknown name; they match no request.
+  // Sets each limit's tenant and request class index from the names that the process started with. Returns
+  // the names of the limits whose tenant or request class is unknown; these limits match no request.
   std::vector<std::string> resolve_names(const std::vector<std::string>& tenants_at_start,
                                          const std::vector<std::string>& request_classes_at_start);
-  // Covers the settings that all instances must share: names, weights, limits, lease.
+  // Digest of the settings that must be equal at all instances: names, weights, limits and lease_ms.
   [[nodiscard]] std::uint64_t digest() const;
-  // The admission bound of each limit as a line of text, for `check`.
+  // One line of text for each limit that states its admission bound, printed by `check`.
   [[nodiscard]] std::vector<std::string> describe_bounds() const;
 };
 
-// Reads the fleet's tables. Problems are added to the reader's list.
+// Reads the fleet's tables. Reports each error to the settings::Reader.
 class FleetConfigReader {
  public:
-  // Reads one table of [[limits.fleet]]. To be called for all of them before read().
+  // Reads one table of [[limits.fleet]]. Must be called for every such table before read().
   void read_limit(settings::Reader& table);
-  // Reads [fleet]; no value where the table is absent. `root` is the whole file's table; `tenants` and
-  // `request_classes` are the file's names, in order.
+  // Reads [fleet]; returns no value if the table is absent. `root` is the file's root table; `tenants` and
+  // `request_classes` are the names that the file defines, by index.
   std::optional<FleetConfig> read(settings::Reader& root, const std::vector<std::string>& tenants,
                                   const std::vector<std::string>& request_classes);
 
--- a/src/fleet/config_agreement.cpp
+++ b/src/fleet/config_agreement.cpp
@@ -19,8 +19,9 @@
                                             membership::PeerIndex peer, std::uint64_t config_digest,
                                             double now_ms) {
   const auto& state = members.state(peer);
-  bool usable = members.status(peer, now_ms) == MemberStatus::alive && state.config_digest == config_digest;
-  return usable ? state.lendable : std::vector<membership::Quota>{};
+  bool is_usable =
+      members.status(peer, now_ms) == MemberStatus::alive && state.config_digest == config_digest;
+  return is_usable ? state.lendable : std::vector<membership::Quota>{};
 }
 
 bool requires_restart(const FleetConfig& in_use, const FleetConfig& next) {
--- a/src/fleet/datagram_budget.hpp
+++ b/src/fleet/datagram_budget.hpp
@@ -1,5 +1,5 @@
-// Bounds the rate of lease requests and grants that an instance sends, so that many borrowers at once can't
-// keep it from serving requests. A token bucket that holds one second's datagrams, full at the start.
+// Limits the rate of lease requests and grants that an instance sends, so that many concurrent borrowers
+// cannot take the time that it needs to serve requests.
 #pragma once
 
 #include <algorithm>
@@ -7,25 +7,27 @@
 
 namespace meadowgauge::fleet {
 
+// A token bucket that holds the datagrams of one second and is full at the start.
 class DatagramBudget {
  public:
-  // Whether one datagram may be sent now; counts it. `per_s` is the limit in force, in datagrams a second.
+  // Takes a token and returns true, or returns false and counts a refusal if no token is left. `per_s` is the
+  // limit in force, in datagrams a second.
   bool try_take(double per_s, double now_ms) {
-    left_ = std::min(per_s, left_ + (now_ms - refilled_at_ms_) * per_s / 1000);
+    tokens_ = std::min(per_s, tokens_ + (now_ms - refilled_at_ms_) * per_s / 1000);
     refilled_at_ms_ = now_ms;
-    if (left_ < 1) {
+    if (tokens_ < 1) {
       ++refused_;
       return false;
     }
-    left_ -= 1;
+    tokens_ -= 1;
     return true;
   }
-  // Refused datagrams since the start.
+  // Number of datagrams refused since the start.
   [[nodiscard]] std::uint64_t refused() const { return refused_; }
 
  private:
-  double left_ = 0;
-  double refilled_at_ms_ = 0;  // far in the past by Unix time, so the first call fills the bucket
+  double tokens_ = 0;
+  double refilled_at_ms_ = 0;  // times are Unix times, so the first call fills the bucket
   std::uint64_t refused_ = 0;
 };
 
--- a/src/fleet/limit_quota.cpp
+++ b/src/fleet/limit_quota.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr double never = std::numeric_limits<double>::infinity();
-constexpr double demand_headroom_ratio = 1.15;  // wanted rate over demand, for the variance of arrivals
-constexpr double min_headroom_rate = 1;         // requests a second; a lower demand gets no headroom
+constexpr double demand_headroom_ratio = 1.15;  // wanted rate / demand; covers the variance of arrivals
+constexpr double min_headroom_rate = 1;         // requests a second; no headroom below this demand
 constexpr double demand_window_ms = 300;        // time constant of the demand average
-constexpr double min_grant_share = 0.01;        // of the own rate; smaller grants are not worth a datagram
-constexpr std::size_t max_counterparties = 64;  // borrowers of one limit, and as many lenders
+constexpr double min_grant_share = 0.01;        // of the own share; a smaller grant is not worth a datagram
+constexpr std::size_t max_counterparties = 64;  // bound on the borrowers of a limit, and on its lenders
 constexpr double min_retry_after_ms = 20;
-constexpr double tolerance = 1e-6;  // requests, or requests a second: rounding of sums in the invariants
+constexpr double tolerance = 1e-6;  // tokens or requests a second: rounding error in the invariant checks
 
 }  // namespace
 
@@ -29,7 +29,7 @@
 
 void LimitQuota::update(const Limit& limit, const LimitTerms& terms, double now_ms) {
   refill(now_ms);
-  share_rate_ = limit.rate * terms.share;
+  own_share_rate_ = limit.rate * terms.share;
   fixed_capacity_ = fixed_burst_share * limit.burst / terms.instances;
   capacity_per_rate_ = limit.rate > 0 ? (1 - fixed_burst_share) * limit.burst / limit.rate : 0;
   lease_ms_ = terms.lease_ms;
@@ -51,8 +51,8 @@
   return max_rate;
 }
 
-// Drops each dominated lease (another one runs as long at no lower rate), which keeps the list short however
-// often leases are renewed.
+// Drops dominated leases: those for which another lease expires no earlier and has no lower rate. This keeps
+// the list short however often leases are renewed.
 void LimitQuota::add_lease(Counterparty& counterparty, const Lease& lease, double now_ms) {
   std::erase_if(counterparty.leases, [&](const Lease& other) {
     return other.expires_at_ms <= now_ms ||
@@ -65,14 +65,14 @@
   if (!is_dominated) counterparty.leases.push_back(lease);
 }
 
-void LimitQuota::drop_expired(std::vector<Counterparty>& counterparties, double now_ms, double kept_ms) {
+void LimitQuota::drop_expired(std::vector<Counterparty>& counterparties, double now_ms, double retention_ms) {
   std::erase_if(counterparties, [&](const Counterparty& counterparty) {
-    return leased_rate(counterparty, now_ms) <= 0 && now_ms - counterparty.wanted_at_ms > kept_ms;
+    return leased_rate(counterparty, now_ms) <= 0 && now_ms - counterparty.wanted_at_ms > retention_ms;
   });
 }
 
-// Counts the highest unexpired grant of each borrower incarnation: the lender can't know which of its grants
-// arrived.
+// Counts the highest unexpired grant to each borrower incarnation, since the lender cannot know which of its
+// grants arrived.
 double LimitQuota::lent(double now_ms) const {
   double sum = 0;
   for (const auto& counterparty : borrowers_) sum += leased_rate(counterparty, now_ms);
@@ -92,23 +92,24 @@
 }
 
 double LimitQuota::own_rate(double now_ms) const {
-  return now_ms < owned_from_ms_ ? 0 : std::max(0.0, share_rate_ - lent(now_ms));
+  return now_ms < owned_from_ms_ ? 0 : std::max(0.0, own_share_rate_ - lent(now_ms));
 }
 
 double LimitQuota::available_rate(double now_ms) const { return own_rate(now_ms) + borrowed(now_ms); }
 
 double LimitQuota::lendable(double now_ms) const {
   if (now_ms < owned_from_ms_) return 0;
-  double kept = std::max(reserved_share * share_rate_, std::min(share_rate_, wanted_rate(now_ms)));
-  return std::max(0.0, share_rate_ - kept);
+  double retained_rate =
+      std::max(reserved_share * own_share_rate_, std::min(own_share_rate_, wanted_rate(now_ms)));
+  return std::max(0.0, own_share_rate_ - retained_rate);
 }
 
 double LimitQuota::shortfall(double now_ms) const {
   return std::max(0.0, wanted_rate(now_ms) - own_rate(now_ms));
 }
 
-// Finds or adds the borrower; null when there are too many. Incarnations are counted separately, since a
-// process that was declared dead may still run beside its successor.
+// Finds or adds the borrower; returns null if there are max_counterparties already. Incarnations are separate
+// borrowers, since a process that was declared gone may still run beside its successor.
 LimitQuota::Counterparty* LimitQuota::borrower(PeerIndex peer, std::uint64_t incarnation) {
   auto it = std::find_if(borrowers_.begin(), borrowers_.end(), [&](const Counterparty& counterparty) {
     return counterparty.peer == peer && counterparty.incarnation == incarnation;
@@ -118,40 +119,42 @@
   return &borrowers_.emplace_back(Counterparty{.peer = peer, .incarnation = incarnation});
 }
 
-// The max-min fair rate for each borrower that asked within the last lease.
-double LimitQuota::fair_share(double now_ms) const {
+// Returns the max-min fair rate for the borrowers that sent a request within the last `lease_ms`: each gets
+// its wanted rate or the returned rate, whichever is lower.
+double LimitQuota::max_min_fair_rate(double now_ms) const {
   std::vector<double> wanted;
   for (const auto& counterparty : borrowers_)
     if (now_ms - counterparty.wanted_at_ms <= lease_ms_) wanted.push_back(counterparty.wanted);
   std::sort(wanted.begin(), wanted.end());
-  double left = lendable(now_ms);
-  double fair = 0;
+  double remaining_rate = lendable(now_ms);
+  double fair_rate = 0;
   for (std::size_t i = 0; i < wanted.size(); ++i) {
-    fair = left / static_cast<double>(wanted.size() - i);
-    if (wanted[i] >= fair) break;
-    left -= wanted[i];
-    fair = wanted[i];
+    fair_rate = remaining_rate / static_cast<double>(wanted.size() - i);
+    if (wanted[i] >= fair_rate) break;
+    remaining_rate -= wanted[i];
+    fair_rate = wanted[i];
   }
-  return std::max(fair, 0.0);
+  return std::max(fair_rate, 0.0);
 }
 
 double LimitQuota::grant(PeerIndex peer, std::uint64_t incarnation, double wanted, double now_ms) {
   refill(now_ms);
-  if (now_ms < owned_from_ms_ || share_rate_ <= 0) return 0;
+  if (now_ms < owned_from_ms_ || own_share_rate_ <= 0) return 0;
   auto* counterparty = borrower(peer, incarnation);
   if (!counterparty) return 0;
   counterparty->wanted = wanted;
   counterparty->wanted_at_ms = now_ms;
   double lent_to_others = lent(now_ms) - leased_rate(*counterparty, now_ms);
-  double rate = std::min({wanted, fair_share(now_ms), share_rate_ - lent_to_others});
-  if (rate < min_grant_share * share_rate_) return 0;
+  double rate = std::min({wanted, max_min_fair_rate(now_ms), own_share_rate_ - lent_to_others});
+  if (rate < min_grant_share * own_share_rate_) return 0;
   add_lease(*counterparty, {.rate = rate, .expires_at_ms = now_ms + lease_ms_ * (1 + lease_drift_ratio)},
             now_ms);
   return rate;
 }
 
-// Finds or adds the lender; null when the table is full of larger leases. Evicts the smallest lease first, so
-// that many small lenders can't crowd out a large one; an evicted lease stays unused, which is safe.
+// Finds or adds the lender. If the table is full, evicts the lender with the lowest rate, so that many small
+// lenders cannot displace a large one, or returns null if `rate` is not above that rate. Eviction is safe:
+// the evicted leases are merely not used.
 LimitQuota::Counterparty* LimitQuota::lender(PeerIndex peer, double rate, double now_ms) {
   auto it = std::find_if(lenders_.begin(), lenders_.end(),
                          [&](const Counterparty& counterparty) { return counterparty.peer == peer; });
@@ -186,8 +189,8 @@
   return fixed_capacity_ + capacity_per_rate_ * available_rate(now_ms);
 }
 
-// Where leases overlap, each interval counts with the highest rate that holds until its end.
-void LimitQuota::add_gain(const Counterparty& lender, double now_ms, double& gained_millitokens) const {
+// Where leases overlap, each interval counts at the highest rate that is leased until the interval's end.
+void LimitQuota::add_leased_tokens(const Counterparty& lender, double now_ms, double& millitokens) const {
   auto leases = lender.leases;
   std::sort(leases.begin(), leases.end(),
             [](const Lease& a, const Lease& b) { return a.expires_at_ms < b.expires_at_ms; });
@@ -195,25 +198,25 @@
   for (const auto& lease : leases) {
     double until_ms = std::min(now_ms, lease.expires_at_ms);
     if (until_ms <= since_ms) continue;
-    gained_millitokens += leased_rate(lender, std::nextafter(until_ms, 0.0)) * (until_ms - since_ms);
+    millitokens += leased_rate(lender, std::nextafter(until_ms, 0.0)) * (until_ms - since_ms);
     since_ms = until_ms;
   }
 }
 
-// Errs towards fewer tokens: a lent rate counts as lent since the last refill, a borrowed one until its
-// lease expired.
+// Adds the tokens earned since the last refill, never too many: the rate lent at the last refill counts as
+// lent for the whole interval, and a borrowed rate counts only until its lease expires.
 void LimitQuota::refill(double now_ms) {
   if (now_ms <= refilled_at_ms_) return;
-  double gained_millitokens = 0;
+  double millitokens = 0;
   if (now_ms > owned_from_ms_) {
-    double own = std::max(0.0, share_rate_ - lent(refilled_at_ms_));
-    gained_millitokens += own * (now_ms - std::max(refilled_at_ms_, owned_from_ms_));
+    double own = std::max(0.0, own_share_rate_ - lent(refilled_at_ms_));
+    millitokens += own * (now_ms - std::max(refilled_at_ms_, owned_from_ms_));
   }
-  for (const auto& lender : lenders_) add_gain(lender, now_ms, gained_millitokens);
+  for (const auto& lender : lenders_) add_leased_tokens(lender, now_ms, millitokens);
   refilled_at_ms_ = now_ms;
   drop_expired(borrowers_, now_ms, lease_ms_);
   drop_expired(lenders_, now_ms, 0);
-  tokens_ = std::min(tokens_ + gained_millitokens / 1000, capacity(now_ms));
+  tokens_ = std::min(tokens_ + millitokens / 1000, capacity(now_ms));
 }
 
 double LimitQuota::tokens(double now_ms) {
@@ -226,8 +229,8 @@
   tokens_ = std::min(tokens_ + 1, capacity(now_ms));
 }
 
-// Each rejected request gets the time of the next unpromised token. With no rate available that is the end of
-// the quarantine, or one lease from now.
+// Gives each rejected request the time of the next token that is not assigned to an earlier rejected request.
+// If the available rate is 0, that time is the end of the quarantine, or one lease from now.
 double LimitQuota::retry_after_ms(double now_ms) {
   refill(now_ms);
   double rate_per_ms = available_rate(now_ms) / 1000;
@@ -236,9 +239,10 @@
     first_token_at_ms = now_ms + (1 - tokens_) / rate_per_ms;
   else if (owned_from_ms_ > now_ms && owned_from_ms_ < never)
     first_token_at_ms = owned_from_ms_;
-  promised_at_ms_ = std::max(first_token_at_ms, promised_at_ms_ + (rate_per_ms > 0 ? 1 / rate_per_ms : 0));
-  promised_at_ms_ = std::min(promised_at_ms_, now_ms + max_retry_after_ms);
-  return std::max(min_retry_after_ms, promised_at_ms_ - now_ms);
+  last_retry_at_ms_ =
+      std::max(first_token_at_ms, last_retry_at_ms_ + (rate_per_ms > 0 ? 1 / rate_per_ms : 0));
+  last_retry_at_ms_ = std::min(last_retry_at_ms_, now_ms + max_retry_after_ms);
+  return std::max(min_retry_after_ms, last_retry_at_ms_ - now_ms);
 }
 
 // --- Demand ---------------------------------------------------------------------------------------------
@@ -283,7 +287,7 @@
 std::optional<BrokenInvariant> LimitQuota::broken_invariant(double now_ms) const {
   if (tokens_ < -tolerance)
     return BrokenInvariant{.invariant = Invariant::bucket_not_overdrawn, .value = tokens_, .bound = 0};
-  double max_tokens = fixed_capacity_ + capacity_per_rate_ * (share_rate_ + borrowed(refilled_at_ms_));
+  double max_tokens = fixed_capacity_ + capacity_per_rate_ * (own_share_rate_ + borrowed(refilled_at_ms_));
   if (tokens_ > max_tokens + tolerance)
     return BrokenInvariant{
         .invariant = Invariant::bucket_within_capacity, .value = tokens_, .bound = max_tokens};
--- a/src/fleet/outlier_verdicts.cpp
+++ b/src/fleet/outlier_verdicts.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-constexpr double onset_ms = 300;  // from the first failure until the policy suspects the server
-// A success proves recovery from this time after the newest failure: its attempt started after the failure.
+constexpr double suspicion_delay_ms = 300;  // from the first failure until the policy suspects a server
+// A success this long after the newest failure proves recovery: its attempt started after the failure.
 constexpr double recovery_margin_ms = 500;
-constexpr double recent_ms = 5000;         // age up to which unhealthy_share() counts a sighting
-constexpr double max_accuser_share = 0.5;  // failing share from which an origin's own links are at fault
+constexpr double recent_ms = 5000;  // unhealthy_share() ignores older sightings
+// From this failing share on, an origin's own links are at fault and its reports do not count.
+constexpr double max_unhealthy_share = 0.5;
 constexpr double sighting_retention_ms = 2 * OutlierVerdicts::verdict_ms;
-constexpr std::size_t max_sightings = membership::max_observations * 8;  // per origin, except this instance
+constexpr std::size_t max_sightings = membership::max_observations * 8;  // of each other instance
 
 constexpr double never_ms = std::numeric_limits<double>::infinity();
 
@@ -29,7 +30,8 @@
     own[server] = {.failing = false, .seen_at_ms = now_ms};
 }
 
-// A suspect's failing sighting keeps the time of the first report, since the policy stops sending to it.
+// The sighting of a suspected server keeps the time at which the server was first suspected: the policy stops
+// sending requests to it, so there are no newer observations.
 bool OutlierVerdicts::record_suspects(const std::vector<ServerId>& servers, double now_ms) {
   std::erase_if(suspect_since_ms_, [&](const auto& suspect) {
     return std::find(servers.begin(), servers.end(), suspect.first) == servers.end();
@@ -41,7 +43,7 @@
     bool is_kept = own.size() < max_servers || own.contains(server);
     if (!is_new || !is_kept) continue;
     any_new = true;
-    own[server] = {.failing = true, .seen_at_ms = now_ms, .failing_since_ms = now_ms - onset_ms};
+    own[server] = {.failing = true, .seen_at_ms = now_ms, .failing_since_ms = now_ms - suspicion_delay_ms};
   }
   return any_new;
 }
@@ -63,7 +65,7 @@
   std::vector<ServerObservation> all;
   auto own = origins_.find(self_);
   if (own == origins_.end()) return all;
-  for (auto server : accused(now_ms)) {
+  for (auto server : reported_servers(now_ms)) {
     auto it = own->second.sightings.find(server);
     if (it == own->second.sightings.end() || now_ms - it->second.seen_at_ms > verdict_ms) continue;
     const auto& sighting = it->second;
@@ -80,7 +82,7 @@
   return all;
 }
 
-// Keeps the newest sighting of each origin and server, so that order and repetition change nothing.
+// Keeps the newest sighting of each origin and server, so that order and repetition have no effect.
 bool OutlierVerdicts::merge(const std::string& origin, const std::vector<ServerObservation>& observations,
                             double unhealthy_share, double made_at_ms) {
   bool is_known = origins_.contains(origin);
@@ -94,8 +96,8 @@
     auto [it, is_first] = known.sightings.try_emplace(observation.server);
     auto& sighting = it->second;
     bool is_older = sighting.seen_at_ms > seen_at_ms;
-    bool adds_nothing = sighting.seen_at_ms == seen_at_ms && (sighting.failing || !observation.failing);
-    if (!is_first && (is_older || adds_nothing)) continue;
+    bool is_redundant = sighting.seen_at_ms == seen_at_ms && (sighting.failing || !observation.failing);
+    if (!is_first && (is_older || is_redundant)) continue;
     newly_failing = newly_failing || (observation.failing && (is_first || !sighting.failing));
     sighting = {.failing = observation.failing,
                 .seen_at_ms = seen_at_ms,
@@ -112,15 +114,15 @@
       return now_ms - sighting.second.seen_at_ms > sighting_retention_ms;
     });
     bool is_listed = std::binary_search(known.begin(), known.end(), name);
-    bool drops = name != self_ && (origin.sightings.empty() || !is_listed);
-    it = drops ? origins_.erase(it) : std::next(it);
+    bool should_drop = name != self_ && (origin.sightings.empty() || !is_listed);
+    it = should_drop ? origins_.erase(it) : std::next(it);
   }
 }
 
 // --- The verdict ----------------------------------------------------------------------------------------
 
-// The servers with a current accuser. Only these are assessed, which keeps the cost independent of the fleet.
-std::set<ServerId> OutlierVerdicts::accused(double now_ms) const {
+// Only the returned servers are assessed, which keeps the cost independent of the size of the fleet.
+std::set<ServerId> OutlierVerdicts::reported_servers(double now_ms) const {
   std::set<ServerId> servers;
   for (const auto& [name, origin] : origins_)
     for (const auto& [server, sighting] : origin.sightings)
@@ -128,37 +130,39 @@
   return servers;
 }
 
-// An origin that finds at least half of its servers failing has bad links of its own and accuses nobody.
-bool OutlierVerdicts::accuses(const std::string& name, const Origin& origin, ServerId server,
-                              double now_ms) const {
+// An origin that finds at least half of its servers failing has bad links of its own, so its reports do not
+// count.
+bool OutlierVerdicts::reports_failing(const std::string& name, const Origin& origin, ServerId server,
+                                      double now_ms) const {
   auto it = origin.sightings.find(server);
   if (it == origin.sightings.end() || !it->second.failing) return false;
   if (now_ms - it->second.seen_at_ms > verdict_ms) return false;
-  return (name == self_ ? unhealthy_share(now_ms) : origin.unhealthy_share) < max_accuser_share;
+  return (name == self_ ? unhealthy_share(now_ms) : origin.unhealthy_share) < max_unhealthy_share;
 }
 
-// The accuser with the oldest sighting goes first: its policy's own ejection ends first. Without a newer
-// failure one more accuser may try after every second trial interval.
-bool OutlierVerdicts::is_our_trial(const Assessment& assessment, const std::vector<std::string>& alive,
+// Returns whether this instance may try the server now. The failing reporters take turns, the one with the
+// oldest sighting first, because its policy's own ejection ends first. The first turn starts one trial
+// interval after the last failure, and each further turn two intervals later.
+bool OutlierVerdicts::is_trial_due(const Assessment& assessment, const std::vector<std::string>& alive,
                                    double now_ms) const {
-  struct Tester {
+  struct TrialCandidate {
     double seen_at_ms;
     std::uint64_t rank;
     bool is_self;
   };
-  std::vector<Tester> testers;
+  std::vector<TrialCandidate> candidates;
   for (const auto& [name, origin] : origins_) {
-    if (!accuses(name, origin, assessment.server, now_ms)) continue;
+    if (!reports_failing(name, origin, assessment.server, now_ms)) continue;
     if (name != self_ && !std::binary_search(alive.begin(), alive.end(), name)) continue;
     auto rank = membership::digest(name + "/" + std::to_string(assessment.server));
-    testers.push_back({origin.sightings.at(assessment.server).seen_at_ms, rank, name == self_});
+    candidates.push_back({origin.sightings.at(assessment.server).seen_at_ms, rank, name == self_});
   }
-  std::sort(testers.begin(), testers.end(), [](const Tester& a, const Tester& b) {
+  std::sort(candidates.begin(), candidates.end(), [](const TrialCandidate& a, const TrialCandidate& b) {
     return a.seen_at_ms != b.seen_at_ms ? a.seen_at_ms < b.seen_at_ms : a.rank < b.rank;
   });
-  for (std::size_t i = 0; i < testers.size(); ++i) {
+  for (std::size_t i = 0; i < candidates.size(); ++i) {
     double turn_after_ms = trial_interval_ms * static_cast<double>(2 * i + 1);
-    if (testers[i].is_self && now_ms - assessment.last_failure_ms >= turn_after_ms) return true;
+    if (candidates[i].is_self && now_ms - assessment.last_failure_ms >= turn_after_ms) return true;
   }
   return false;
 }
@@ -167,9 +171,9 @@
                                                     double now_ms) const {
   Assessment result{.server = server, .failing_since_ms = never_ms, .last_failure_ms = -never_ms};
   for (const auto& [name, origin] : origins_) {
-    if (!accuses(name, origin, server, now_ms)) continue;
+    if (!reports_failing(name, origin, server, now_ms)) continue;
     const auto& sighting = origin.sightings.at(server);
-    ++result.accusers;
+    ++result.failing_reporters;
     result.failing_since_ms = std::min(result.failing_since_ms, sighting.failing_since_ms);
     result.last_failure_ms = std::max(result.last_failure_ms, sighting.seen_at_ms);
   }
@@ -177,28 +181,30 @@
     auto it = origin.sightings.find(server);
     if (it == origin.sightings.end() || it->second.failing) continue;
     if (it->second.seen_at_ms <= result.failing_since_ms) continue;
-    ++result.defenders;
-    result.served_us = result.served_us || name == self_;
+    ++result.healthy_reporters;
+    result.served_self = result.served_self || name == self_;
     result.recovered =
         result.recovered || it->second.seen_at_ms > result.last_failure_ms + recovery_margin_ms;
   }
-  result.our_trial = is_our_trial(result, alive, now_ms);
+  result.may_try = is_trial_due(result, alive, now_ms);
   return result;
 }
 
-// The listed servers that the fleet ejects, those with most accusers first.
+// Returns the listed servers that the fleet ejects, ordered by failing reporters, most first.
 std::vector<OutlierVerdicts::Assessment> OutlierVerdicts::outliers(const std::vector<ServerId>& listed,
                                                                    const std::vector<std::string>& alive,
                                                                    double now_ms) const {
   std::vector<Assessment> outliers;
-  for (auto server : accused(now_ms)) {
+  for (auto server : reported_servers(now_ms)) {
     if (std::find(listed.begin(), listed.end(), server) == listed.end()) continue;
     auto result = assess(server, alive, now_ms);
-    bool is_outlier = result.accusers >= min_accusers && result.accusers >= 2 * result.defenders;
-    if (is_outlier && !result.served_us && !result.recovered) outliers.push_back(result);
+    bool is_outlier = result.failing_reporters >= min_failing_reporters &&
+                      result.failing_reporters >= 2 * result.healthy_reporters;
+    if (is_outlier && !result.served_self && !result.recovered) outliers.push_back(result);
   }
   std::sort(outliers.begin(), outliers.end(), [](const Assessment& a, const Assessment& b) {
-    return a.accusers != b.accusers ? a.accusers > b.accusers : a.server < b.server;
+    return a.failing_reporters != b.failing_reporters ? a.failing_reporters > b.failing_reporters
+                                                      : a.server < b.server;
   });
   auto max_ejected = static_cast<std::size_t>(max_ejected_share * static_cast<double>(listed.size()));
   if (outliers.size() > max_ejected) outliers.resize(max_ejected);
@@ -209,7 +215,7 @@
                                                const std::vector<std::string>& alive, double now_ms) const {
   std::vector<ServerId> servers;
   for (const auto& outlier : outliers(listed, alive, now_ms))
-    if (!outlier.our_trial) servers.push_back(outlier.server);
+    if (!outlier.may_try) servers.push_back(outlier.server);
   return servers;
 }
 
@@ -217,7 +223,7 @@
                                                 const std::vector<std::string>& alive, double now_ms) const {
   std::vector<ServerId> servers;
   for (const auto& outlier : outliers(listed, alive, now_ms))
-    if (outlier.our_trial) servers.push_back(outlier.server);
+    if (outlier.may_try) servers.push_back(outlier.server);
   return servers;
 }
 
@@ -235,7 +241,7 @@
                              .subject = name};
     if (name == self_ && origin.unhealthy_share != 0)
       return BrokenInvariant{
-          .invariant = Invariant::own_share_not_received, .value = origin.unhealthy_share, .subject = name};
+          .invariant = Invariant::own_health_not_received, .value = origin.unhealthy_share, .subject = name};
   }
   auto own = origins_.find(self_);
   for (const auto& [server, since_ms] : suspect_since_ms_) {
--- a/src/fleet/outlier_verdicts.hpp
+++ b/src/fleet/outlier_verdicts.hpp
@@ -1,4 +1,4 @@
-// Which servers the instances of a fleet eject together. Values without I/O; times are ms by this instance's
+// Decides which servers the instances of a fleet eject together. No I/O; times are in ms by this instance's
 // clock.
 #pragma once
 
@@ -14,60 +14,64 @@
 
 namespace meadowgauge::fleet {
 
-using ServerId = std::uint32_t;  // the same number at every instance
+using ServerId = std::uint32_t;  // identical at all instances
 
-// Ejects servers by first-hand observations of all instances.
+// Ejects servers based on the first-hand observations of all instances.
 //
-// Each instance (origin) reports the servers that its own policy finds failing, and those that have served
-// it. Only the newest observation of an origin and server counts, until it is `verdict_ms` old, so repetition
-// and order of datagrams change nothing. A verdict is never reported itself. A server is ejected where
+// Each instance (origin) reports the servers that its own policy finds failing, and the servers that others
+// find failing but that have served this instance. Only the newest observation of an origin and server
+// counts, until it is `verdict_ms` old, so the order and repetition of datagrams have no effect. Instances
+// report observations, never verdicts. A server is ejected if
 //
-//   accusers >= min_accusers    and    accusers >= 2 * defenders
+//   failing_reporters >= min_failing_reporters    and    failing_reporters >= 2 * healthy_reporters
 //
-// accusers   origins that find the server failing, and fewer than half of the servers they see
-// defenders  origins that the server has served since the earliest of the failures began
+// failing_reporters  origins that find this server failing, and fewer than half of the servers they see
+// healthy_reporters  origins that the server has served since the earliest of the failures began
 //
-// and it has served neither this instance since then nor anybody after the newest failure. The share of
-// ejected servers is bounded. One accuser at a time may try an ejected server; its success lifts the verdict.
-// Rule and bound on age: docs/design/fleet-verdicts.md.
+// unless the server has served this instance since the failures began, or any origin since the newest
+// failure. The share of ejected servers is bounded. The failing reporters take turns to try an ejected
+// server; a successful attempt lifts the verdict. Rule and bound on age: docs/design/fleet-verdicts.md.
 class OutlierVerdicts {
  public:
-  static constexpr double verdict_ms = 10000;        // age at which an observation expires
+  static constexpr double verdict_ms = 10000;        // age up to which an observation counts
   static constexpr double trial_interval_ms = 1000;  // between two trials of an ejected server
   static constexpr double max_ejected_share = 0.3;   // of the listed servers, 0 to 1
-  static constexpr int min_accusers = 2;             // one bad link makes one accuser only
+  static constexpr int min_failing_reporters = 2;    // one bad link produces a single failing reporter
   static constexpr std::size_t max_origins = 2048;
-  static constexpr std::size_t max_servers = 2048;  // own sightings
+  static constexpr std::size_t max_servers = 2048;  // bound on this instance's own sightings
 
-  // `self` is this instance's name.
+  // `self` is the name of this instance.
   explicit OutlierVerdicts(std::string self) : self_(std::move(self)) {}
 
-  // An attempt of this instance has succeeded at `server`.
+  // Records that `server` has served an attempt of this instance.
   void record_success(ServerId server, double now_ms);
-  // Takes the servers that this instance's policy ejects or finds unresponsive. True: one of them is new.
+  // Sets the servers that this instance's policy ejects or finds unresponsive. Returns whether any of them is
+  // new.
   bool record_suspects(const std::vector<ServerId>& servers, double now_ms);
 
-  // The observations to report: failing servers, then servers that others accuse; the newest first.
+  // Returns this instance's observations of the servers that any origin reports as failing: first the servers
+  // that fail here, then those that have served this instance; each group newest first.
   [[nodiscard]] std::vector<membership::ServerObservation> observations(double now_ms) const;
-  // The failing share of the servers that this instance has recently seen, 0 to 1.
+  // Returns the failing share of the servers that this instance has recently seen, 0 to 1.
   [[nodiscard]] double unhealthy_share(double now_ms) const;
-  // Takes the state that another instance made at `made_at_ms`. True: the origin accuses a further server.
+  // Merges the observations that another instance reported at `made_at_ms`. Returns whether the origin
+  // reports a further server as failing.
   bool merge(const std::string& origin, const std::vector<membership::ServerObservation>& observations,
              double unhealthy_share, double made_at_ms);
 
-  // Those of the `listed` servers that this instance must not pick now. `alive` holds the names of the alive
-  // instances, sorted.
+  // Returns those of the `listed` servers that this instance must not pick now. `alive` holds the names of
+  // the alive instances and must be sorted.
   [[nodiscard]] std::vector<ServerId> ejected(const std::vector<ServerId>& listed,
                                               const std::vector<std::string>& alive, double now_ms) const;
-  // Those that other instances must not pick now and that it is this instance's turn to try.
+  // Returns the ejected servers that it is this instance's turn to try.
   [[nodiscard]] std::vector<ServerId> on_trial(const std::vector<ServerId>& listed,
                                                const std::vector<std::string>& alive, double now_ms) const;
-  // Drops expired sightings, and origins that are not in `known`, which is sorted.
+  // Drops expired sightings, and origins that are not in `known`, which must be sorted.
   void expire(const std::vector<std::string>& known, double now_ms);
-  // The number of instances with sightings.
+  // Number of instances with sightings, including this one.
   [[nodiscard]] std::size_t origin_count() const { return origins_.size(); }
 
-  // The first invariant that does not hold. For tests, after every step.
+  // Returns the first violated invariant, if any. Tests call it after every step.
   [[nodiscard]] std::optional<BrokenInvariant> broken_invariant() const;
 
  private:
@@ -75,27 +79,28 @@
   struct Sighting {
     bool failing = false;
     double seen_at_ms = 0;
-    double failing_since_ms = 0;  // of a failing server: nothing succeeded there after this time
+    double failing_since_ms = 0;  // for a failing server: no attempt succeeded after this time
   };
   struct Origin {
     double unhealthy_share = 0;
     std::map<ServerId, Sighting> sightings;
   };
-  // The evidence for and against a server.
+  // The origins' observations of a server, summed up.
   struct Assessment {
     ServerId server = 0;
-    int accusers = 0;
-    int defenders = 0;            // origins served since the failures began
-    double failing_since_ms = 0;  // earliest over all accusers
-    double last_failure_ms = 0;   // newest over all accusers
-    bool served_us = false;       // this instance is one of the defenders
-    bool recovered = false;       // served an origin after the last failure, by the recovery margin
-    bool our_trial = false;       // it is this instance's turn to try the server
+    int failing_reporters = 0;
+    int healthy_reporters = 0;    // origins that the server has served since the failures began
+    double failing_since_ms = 0;  // earliest of all failing reporters
+    double last_failure_ms = 0;   // newest of all failing reporters
+    bool served_self = false;     // this instance is one of the healthy reporters
+    bool recovered = false;       // served an origin later than the last failure plus the recovery margin
+    bool may_try = false;         // whether it is this instance's turn to try the server
   };
-  [[nodiscard]] std::set<ServerId> accused(double now_ms) const;
-  [[nodiscard]] bool accuses(const std::string& name, const Origin& origin, ServerId server,
-                             double now_ms) const;
-  [[nodiscard]] bool is_our_trial(const Assessment& assessment, const std::vector<std::string>& alive,
+  // Returns the servers that any origin currently reports as failing.
+  [[nodiscard]] std::set<ServerId> reported_servers(double now_ms) const;
+  [[nodiscard]] bool reports_failing(const std::string& name, const Origin& origin, ServerId server,
+                                     double now_ms) const;
+  [[nodiscard]] bool is_trial_due(const Assessment& assessment, const std::vector<std::string>& alive,
                                   double now_ms) const;
   [[nodiscard]] Assessment assess(ServerId server, const std::vector<std::string>& alive,
                                   double now_ms) const;
@@ -103,8 +108,8 @@
                                                  const std::vector<std::string>& alive, double now_ms) const;
 
   std::string self_;
-  std::map<std::string, Origin> origins_;        // by instance name, with this one
-  std::map<ServerId, double> suspect_since_ms_;  // own suspects, by the time of the first report
+  std::map<std::string, Origin> origins_;        // by instance name, including this one
+  std::map<ServerId, double> suspect_since_ms_;  // servers suspected by the own policy, and since when
 };
 
 }  // namespace meadowgauge::fleet
--- a/src/fleet/shared_limits.cpp
+++ b/src/fleet/shared_limits.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr double never = std::numeric_limits<double>::infinity();
-constexpr double held_offer_weight = 1.5;  // multiplies the offer of a current lender
-// A lease is not renewed while this share of the wanted rate is held for another half lease.
-constexpr double min_assured_share = 0.9;  // share of the wanted rate, 0 to 1
+constexpr double current_lender_weight = 1.5;  // factor on the offer of a current lender in the ranking
+// A lease is not renewed while leases for this share of the wanted rate run for another half lease.
+constexpr double min_assured_share = 0.9;  // of the wanted rate, 0 to 1
 
 double rate_of(const std::vector<Quota>& quotas, int limit) {
   for (const auto& quota : quotas)
@@ -20,7 +20,8 @@
   return 0;
 }
 
-// A limit under `terms` with the lower own rate and the lower burst of two files.
+// Returns `limit` with its rate and burst reduced so that this instance's share of each is the lower one of
+// the old terms and `terms`.
 Limit lower_limit(const Limit& old_limit, const LimitTerms& old_terms, Limit limit, const LimitTerms& terms) {
   double own_rate = std::min(old_limit.rate * old_terms.share, limit.rate * terms.share);
   limit.rate = terms.share > 0 ? own_rate / terms.share : 0;
@@ -50,9 +51,9 @@
     for (int request_class = match_others; request_class < request_classes_; ++request_class)
       for (std::size_t i = 0; i < terms_.limits.size(); ++i) {
         const auto& limit = terms_.limits[i];
-        bool counts_tenant = limit.tenant == match_any || limit.tenant == tenant;
-        bool counts_class = limit.request_class == match_any || limit.request_class == request_class;
-        if (counts_tenant && counts_class)
+        bool matches_tenant = limit.tenant == match_any || limit.tenant == tenant;
+        bool matches_class = limit.request_class == match_any || limit.request_class == request_class;
+        if (matches_tenant && matches_class)
           limits_for(tenant, request_class).push_back(static_cast<std::uint8_t>(i));
       }
 }
@@ -64,7 +65,7 @@
   return limits_by_key_[static_cast<std::size_t>(row) * columns + static_cast<std::size_t>(column)];
 }
 
-// --- The file and who owns which share ------------------------------------------------------------------
+// --- Configuration and ownership of shares --------------------------------------------------------------
 
 void SharedLimits::address_acquired(double now_ms) {
   if (ownership_ == Ownership::owning) return;
@@ -72,11 +73,11 @@
   owned_from_ms_ = now_ms + quarantine_ms();
 }
 
-// Matches limits by name. A limit of both files holds with the lower values until all members agree. A new
-// limit is quarantined: an earlier file may have had it, with leases that still run.
+// Matches limits by name. A limit in both files applies with the lower values until all members agree. A new
+// limit is quarantined, since an earlier file may have defined the limit and its leases may still run.
 void SharedLimits::reload(const LimitTerms& terms, double now_ms) {
   file_terms_ = terms;
-  file_terms_.lease_ms = terms_.lease_ms;  // fixed for the process: running leases have this length
+  file_terms_.lease_ms = terms_.lease_ms;  // fixed at startup: running leases have this duration
   agreed_since_ms_ = never;
   if (ownership_ == Ownership::quarantined)
     owned_from_ms_ = std::max(owned_from_ms_, now_ms + quarantine_ms());
@@ -103,9 +104,10 @@
 }
 
 void SharedLimits::update_agreement(const ConfigAgreement& agreement, double now_ms) {
-  // A live member with another file delays only an instance that has just started.
-  bool may_own = ownership_ == Ownership::quarantined && now_ms >= owned_from_ms_;
-  if (may_own && !agreement.live_member_differs) {
+  // A live member with another digest extends the quarantine, but an instance that owns its shares keeps
+  // them.
+  bool is_quarantine_over = ownership_ == Ownership::quarantined && now_ms >= owned_from_ms_;
+  if (is_quarantine_over && !agreement.live_member_differs) {
     ownership_ = Ownership::owning;
     for (auto& quota : quotas_) quota.set_owned_from(owned_from_ms_, now_ms);
   }
@@ -120,7 +122,7 @@
 
 // --- Requests -------------------------------------------------------------------------------------------
 
-// Takes a token of each limit that applies to the request, or none.
+// Takes a token of each limit that applies to the request, or no token at all.
 double SharedLimits::admit(int tenant, int request_class, double now_ms) {
   const auto& limits = limits_for(tenant, request_class);
   double retry_after_ms = 0;
@@ -156,18 +158,20 @@
   offers_[slot(peer)].lendable = std::move(lendable);
 }
 
-// Ranks lenders by offer, so that few requests suffice. The weight prefers current lenders over slightly
-// larger offers, without letting many small ones exclude a large one.
+// Ranks lenders by offer, so that few lease requests suffice. A factor ranks current lenders above slightly
+// larger offers, but many small current lenders cannot exclude a large new one.
 std::vector<SharedLimits::Lender> SharedLimits::ranked_lenders(int limit, double now_ms) const {
   std::vector<Lender> lenders;
   for (std::size_t k = 0; k < offers_.size(); ++k) {
-    auto i = (k + round_) % offers_.size();  // equal offers take turns
+    auto i = (k + round_number_) % offers_.size();  // rotates the order of equal offers
     auto peer = membership::peer_at(i);
     double held = quota(limit).borrowed_from(peer, now_ms);
     double offer = std::max(held, rate_of(offers_[i].lendable, limit));
     if (offer > 0) lenders.push_back({.peer = peer, .held = held, .offer = offer});
   }
-  auto weight = [](const Lender& lender) { return lender.offer * (lender.held > 0 ? held_offer_weight : 1); };
+  auto weight = [](const Lender& lender) {
+    return lender.offer * (lender.held > 0 ? current_lender_weight : 1);
+  };
   std::stable_sort(lenders.begin(), lenders.end(),
                    [&](const Lender& a, const Lender& b) { return weight(a) > weight(b); });
   return lenders;
@@ -175,7 +179,7 @@
 
 std::vector<LeaseRequest> SharedLimits::lease_requests(double now_ms) {
   rejected_since_round_ = false;
-  ++round_;
+  ++round_number_;
   std::vector<LeaseRequest> requests;
   for (int limit = 0; limit < size(); ++limit) request_shortfall(limit, now_ms, requests);
   return requests;
@@ -183,15 +187,15 @@
 
 void SharedLimits::request_shortfall(int limit, double now_ms, std::vector<LeaseRequest>& requests) const {
   const auto& held = quota(limit);
-  double left = held.shortfall(now_ms);
-  if (left <= 0) return;
+  double remaining_rate = held.shortfall(now_ms);
+  if (remaining_rate <= 0) return;
   double half_lease_later_ms = now_ms + file_terms_.lease_ms / 2;
   for (const auto& lender : ranked_lenders(limit, now_ms)) {
-    if (left <= 0) break;
-    double wanted = std::min(left, lender.offer);
+    if (remaining_rate <= 0) break;
+    double wanted = std::min(remaining_rate, lender.offer);
     double assured = held.borrowed_from(lender.peer, half_lease_later_ms);
     if (assured >= min_assured_share * wanted) {
-      left -= assured;
+      remaining_rate -= assured;
       continue;
     }
     auto request = std::find_if(requests.begin(), requests.end(),
@@ -201,26 +205,26 @@
       request = requests.insert(request, LeaseRequest{.lender = lender.peer, .quotas = {}});
     }
     request->quotas.push_back({.limit = limit, .rate = wanted});
-    // The last grant predicts the next one better than the offer does.
+    // The lender's last grant predicts its next grant better than its offer does.
     const auto& offer = offers_[slot(lender.peer)];
     bool has_fresh_grant = now_ms - offer.granted_at_ms < file_terms_.lease_ms;
-    left -= has_fresh_grant ? std::max(rate_of(offer.last_grant, limit), assured) : wanted;
+    remaining_rate -= has_fresh_grant ? std::max(rate_of(offer.last_grant, limit), assured) : wanted;
   }
 }
 
 std::vector<Quota> SharedLimits::grant(PeerIndex borrower, std::uint64_t incarnation,
                                        std::span<const Quota> wanted, double now_ms) {
   std::vector<Quota> granted;
-  for (const auto& one : wanted) {
-    if (one.limit < 0 || one.limit >= size()) continue;
-    double rate = quota(one.limit).grant(borrower, incarnation, one.rate, now_ms);
-    if (rate > 0) granted.push_back({.limit = one.limit, .rate = rate});
+  for (const auto& entry : wanted) {
+    if (entry.limit < 0 || entry.limit >= size()) continue;
+    double rate = quota(entry.limit).grant(borrower, incarnation, entry.rate, now_ms);
+    if (rate > 0) granted.push_back({.limit = entry.limit, .rate = rate});
   }
   return granted;
 }
 
-// The lease runs from the time of the request. The lender made its grant later, so it counts the lease for
-// longer than this instance does.
+// The lease runs from the time of the request. The lender counts the lease from its later grant, so that the
+// lease ends here first.
 bool SharedLimits::accept_grant(PeerIndex lender, double requested_at_ms, std::span<const Quota> granted,
                                 double now_ms) {
   double expires_at_ms = requested_at_ms + file_terms_.lease_ms;
@@ -228,11 +232,11 @@
   auto& offer = offers_[slot(lender)];
   offer.last_grant.assign(granted.begin(), granted.end());
   offer.granted_at_ms = now_ms;
-  for (const auto& one : granted) {
-    if (one.limit < 0 || one.limit >= size()) continue;
-    // Nobody owns more than the whole of a limit.
-    if (one.rate > file_terms_.limits[static_cast<std::size_t>(one.limit)].rate) continue;
-    quota(one.limit).accept(lender, one.rate, expires_at_ms, now_ms);
+  for (const auto& entry : granted) {
+    if (entry.limit < 0 || entry.limit >= size()) continue;
+    // A grant above the whole limit is invalid: no instance owns more than that.
+    if (entry.rate > file_terms_.limits[static_cast<std::size_t>(entry.limit)].rate) continue;
+    quota(entry.limit).accept(lender, entry.rate, expires_at_ms, now_ms);
   }
   return true;
 }
@@ -245,11 +249,11 @@
 std::optional<BrokenInvariant> SharedLimits::broken_invariant(double now_ms) const {
   const auto limit_count = static_cast<double>(terms_.limits.size());
   if (quotas_.size() != terms_.limits.size())
-    return BrokenInvariant{.invariant = Invariant::one_quota_per_limit,
+    return BrokenInvariant{.invariant = Invariant::quota_count_matches_limits,
                            .value = static_cast<double>(quotas_.size()),
                            .bound = limit_count};
   if (file_terms_.limits.size() != terms_.limits.size())
-    return BrokenInvariant{.invariant = Invariant::file_limits_in_force,
+    return BrokenInvariant{.invariant = Invariant::limit_count_matches_file,
                            .value = static_cast<double>(file_terms_.limits.size()),
                            .bound = limit_count};
   if ((ownership_ == Ownership::no_address) != (owned_from_ms_ == never))
--- a/src/membership/broken_invariant.cpp
+++ b/src/membership/broken_invariant.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-// By Invariant.
+// Indexed by Invariant.
 constexpr std::array<std::string_view, static_cast<std::size_t>(Invariant::count)> invariant_texts{
-    "index by name does not hold each listed member once",
-    "name leads to another member's slot",
+    "name index does not contain each listed member exactly once",
+    "name maps to another member's slot",
     "this instance is its own peer",
-    "free slot keeps a member's state",
+    "unused slot contains a member's state",
     "highest sequence is not marked as received",
-    "slot holds the state of another member",
-    "slot holds the state of another incarnation",
+    "slot contains the state of another member",
+    "slot contains the state of another incarnation",
     "gossip target is not listed",
-    "next gossip target is past the cycle's end",
+    "next gossip target is beyond the end of the cycle",
 };
 
 }  // namespace
--- a/src/membership/broken_invariant.hpp
+++ b/src/membership/broken_invariant.hpp
@@ -1,4 +1,4 @@
-// The invariants that MemberTable checks about itself, for tests after every step.
+// Invariants of MemberTable. Tests check them after every step through MemberTable::broken_invariant().
 #pragma once
 
 #include <cstdint>
@@ -13,22 +13,22 @@
   self_not_a_peer,
   free_slot_empty,
   highest_sequence_received,
-  state_of_its_member,
-  state_of_current_incarnation,
+  state_matches_member,
+  state_matches_incarnation,
   targets_listed,
   next_target_within_cycle,
   count
 };
 
-// An invariant that does not hold, with the value that breaks it and the value that it is compared with.
+// A violated invariant: the offending value and the value that it was compared with.
 struct BrokenInvariant {
   Invariant invariant{};
   double value = 0;
   double bound = 0;
-  std::string member{};  // name; empty where no single member is affected
+  std::string member{};  // name; empty if the violation is not about one member
 };
 
-// One line of text; empty where no invariant is broken.
+// One line of text; empty where all invariants hold.
 std::string describe(const std::optional<BrokenInvariant>& broken);
 
 }  // namespace meadowgauge::membership
--- a/src/membership/datagram.cpp
+++ b/src/membership/datagram.cpp
@@ -16,36 +16,36 @@
 constexpr int format_version = 1;
 constexpr double max_rate = 1e9;  // requests a second
 constexpr double max_sent_at_ms = 1e15;
-constexpr double hundredths_per_unit = 100;  // offers and shares are sent as whole hundredths
+constexpr double hundredths_per_unit = 100;  // offers and shares are encoded as integers in hundredths
 constexpr std::size_t max_members = 64;
 constexpr std::size_t checksum_bytes = sizeof(std::uint64_t);
-constexpr std::size_t array_head_bytes = 2;  // further head bytes of a long CBOR array
+constexpr std::size_t extra_array_head_bytes = 2;  // longer head of a CBOR array with many elements
 
-// Positions in the arrays on the wire.
+// Positions of the fields in the encoded arrays.
 enum HeadField : std::size_t {
-  version_at,
-  from_at,
-  incarnation_at,
-  sequence_at,
-  config_digest_at,
-  kind_at,
-  sent_at_at,
-  recipient_at,
-  quotas_at,
-  members_at,
-  head_fields
+  version_index,
+  from_index,
+  incarnation_index,
+  sequence_index,
+  config_digest_index,
+  kind_index,
+  sent_at_index,
+  recipient_index,
+  quotas_index,
+  members_index,
+  head_field_count
 };
 enum MemberField : std::size_t {
-  member_name_at,
-  member_incarnation_at,
-  member_heartbeat_at,
-  member_age_at,
-  member_digest_at,
-  member_lendable_at,
-  unhealthy_share_at,  // from here on optional: present with observations
-  observations_at
+  member_name_index,
+  member_incarnation_index,
+  member_heartbeat_index,
+  member_age_index,
+  member_digest_index,
+  member_lendable_index,
+  unhealthy_share_index,  // this field and those after it are present only with observations
+  observations_index
 };
-constexpr std::size_t observation_fields = 4;
+constexpr std::size_t observation_field_count = 4;
 
 std::uint64_t to_integer(double value) { return static_cast<std::uint64_t>(value); }
 
@@ -58,7 +58,8 @@
   return array;
 }
 
-// Offers are hints, so hundredths rounded down suffice. The datagram's own digest is written as 0.
+// Rounds offers down to hundredths, which suffices since offers are hints. Encodes a digest that equals the
+// datagram's own as 0.
 json to_json(const MemberState& member, std::uint64_t datagram_digest) {
   auto lendable = json::array();
   for (const auto& quota : member.lendable) {
@@ -79,7 +80,7 @@
   return array;
 }
 
-std::string with_checksum(const json& payload) {
+std::string prepend_checksum(const json& payload) {
   std::string bytes(checksum_bytes, '\0');
   json::to_cbor(payload, bytes);
   auto checksum = digest(std::string_view(bytes).substr(checksum_bytes));
@@ -94,14 +95,14 @@
   return checksum;
 }
 
-// Reads a payload field by field and keeps the first error. Values read after an error are meaningless.
+// Decodes a payload field by field and keeps the first error. Values read after an error are unspecified.
 class Decoder {
  public:
   std::variant<Datagram, DatagramError> decode(const json& payload) {
     Datagram datagram;
     read_head(payload, datagram);
     if (error_) return *error_;
-    for (const auto& member : payload[members_at]) {
+    for (const auto& member : payload[members_index]) {
       read_member(member, datagram.config_digest, datagram.members.emplace_back());
       if (error_) return *error_;
     }
@@ -119,32 +120,32 @@
     fail(Kind::malformed, field, array.is_array() ? static_cast<double>(array.size()) : 0);
     return false;
   }
-  void read_name(const json& value, std::string_view field, std::string& into) {
+  void read_name(const json& value, std::string_view field, std::string& output) {
     const auto* text = value.get_ptr<const std::string*>();
     if (text && !text->empty() && text->size() <= max_name_bytes)
-      into = *text;
+      output = *text;
     else
       fail(Kind::malformed, field, text ? static_cast<double>(text->size()) : 0);
   }
-  void read_whole(const json& value, std::string_view field, std::uint64_t& into) {
+  void read_unsigned(const json& value, std::string_view field, std::uint64_t& output) {
     if (value.is_number_unsigned())
-      into = value.get<std::uint64_t>();
+      output = value.get<std::uint64_t>();
     else
       fail(Kind::malformed, field, 0);
   }
-  void read_number(const json& value, std::string_view field, double max_value, double& into) {
+  void read_number(const json& value, std::string_view field, double max_value, double& output) {
     if (!value.is_number()) return fail(Kind::malformed, field, 0);
-    into = value.get<double>();
-    if (!(into >= 0 && into <= max_value)) fail(Kind::out_of_range, field, into);
+    output = value.get<double>();
+    if (!(output >= 0 && output <= max_value)) fail(Kind::out_of_range, field, output);
   }
-  void read_kind(const json& value, DatagramKind& into) {
+  void read_kind(const json& value, DatagramKind& output) {
     std::uint64_t kind = 0;
-    read_whole(value, "kind", kind);
+    read_unsigned(value, "kind", kind);
     if (kind > static_cast<std::uint64_t>(DatagramKind::lease_grant))
       return fail(Kind::out_of_range, "kind", static_cast<double>(kind));
-    into = static_cast<DatagramKind>(kind);
+    output = static_cast<DatagramKind>(kind);
   }
-  void read_quotas(const json& array, std::string_view field, std::vector<Quota>& into) {
+  void read_quotas(const json& array, std::string_view field, std::vector<Quota>& output) {
     if (!read_array(array, field, 0, 2 * max_limits)) return;
     if (array.size() % 2 != 0) return fail(Kind::malformed, field, static_cast<double>(array.size()));
     for (std::size_t i = 0; i < array.size(); i += 2) {
@@ -153,33 +154,33 @@
       read_number(array[i], field, max_limits - 1, limit);
       read_number(array[i + 1], field, max_rate, quota.rate);
       if (!error_) quota.limit = static_cast<int>(limit);
-      into.push_back(quota);
+      output.push_back(quota);
     }
   }
   void read_head(const json& payload, Datagram& datagram) {
-    if (!read_array(payload, "datagram", head_fields, head_fields)) return;
-    read_kind(payload[kind_at], datagram.kind);
-    read_name(payload[from_at], "from", datagram.from);
-    read_whole(payload[incarnation_at], "incarnation", datagram.incarnation);
-    read_whole(payload[sequence_at], "sequence", datagram.sequence);
-    read_whole(payload[config_digest_at], "config_digest", datagram.config_digest);
-    read_number(payload[sent_at_at], "sent_at_ms", max_sent_at_ms, datagram.sent_at_ms);
-    read_whole(payload[recipient_at], "recipient_incarnation", datagram.recipient_incarnation);
-    read_quotas(payload[quotas_at], "quotas", datagram.quotas);
-    read_array(payload[members_at], "members", 0, max_members);
+    if (!read_array(payload, "datagram", head_field_count, head_field_count)) return;
+    read_kind(payload[kind_index], datagram.kind);
+    read_name(payload[from_index], "from", datagram.from);
+    read_unsigned(payload[incarnation_index], "incarnation", datagram.incarnation);
+    read_unsigned(payload[sequence_index], "sequence", datagram.sequence);
+    read_unsigned(payload[config_digest_index], "config_digest", datagram.config_digest);
+    read_number(payload[sent_at_index], "sent_at_ms", max_sent_at_ms, datagram.sent_at_ms);
+    read_unsigned(payload[recipient_index], "recipient_incarnation", datagram.recipient_incarnation);
+    read_quotas(payload[quotas_index], "quotas", datagram.quotas);
+    read_array(payload[members_index], "members", 0, max_members);
   }
   void read_member(const json& array, std::uint64_t datagram_digest, MemberState& member) {
-    if (!read_array(array, "member", unhealthy_share_at,
-                    observations_at + observation_fields * max_observations))
+    if (!read_array(array, "member", unhealthy_share_index,
+                    observations_index + observation_field_count * max_observations))
       return;
-    read_name(array[member_name_at], "member.name", member.name);
-    read_whole(array[member_incarnation_at], "member.incarnation", member.incarnation);
-    read_whole(array[member_heartbeat_at], "member.heartbeat", member.heartbeat);
-    read_number(array[member_age_at], "member.age_ms", max_member_age_ms, member.age_ms);
-    read_whole(array[member_digest_at], "member.config_digest", member.config_digest);
-    read_quotas(array[member_lendable_at], "member.lendable", member.lendable);
-    if (array.size() > unhealthy_share_at) {
-      read_number(array[unhealthy_share_at], "member.unhealthy_share", hundredths_per_unit,
+    read_name(array[member_name_index], "member.name", member.name);
+    read_unsigned(array[member_incarnation_index], "member.incarnation", member.incarnation);
+    read_unsigned(array[member_heartbeat_index], "member.heartbeat", member.heartbeat);
+    read_number(array[member_age_index], "member.age_ms", max_member_age_ms, member.age_ms);
+    read_unsigned(array[member_digest_index], "member.config_digest", member.config_digest);
+    read_quotas(array[member_lendable_index], "member.lendable", member.lendable);
+    if (array.size() > unhealthy_share_index) {
+      read_number(array[unhealthy_share_index], "member.unhealthy_share", hundredths_per_unit,
                   member.unhealthy_share);
       member.unhealthy_share /= hundredths_per_unit;
       read_observations(array, member.observations);
@@ -187,23 +188,24 @@
     if (member.config_digest == 0) member.config_digest = datagram_digest;
     for (auto& quota : member.lendable) quota.rate /= hundredths_per_unit;
   }
-  void read_observations(const json& array, std::vector<ServerObservation>& into) {
+  void read_observations(const json& array, std::vector<ServerObservation>& output) {
     constexpr std::string_view field = "member.observations";
-    auto fields = array.size() - observations_at;
-    if (fields % observation_fields != 0) return fail(Kind::malformed, field, static_cast<double>(fields));
-    for (std::size_t i = observations_at; i < array.size() && !error_; i += observation_fields) {
+    auto fields = array.size() - observations_index;
+    if (fields % observation_field_count != 0)
+      return fail(Kind::malformed, field, static_cast<double>(fields));
+    for (std::size_t i = observations_index; i < array.size() && !error_; i += observation_field_count) {
       std::uint64_t server = 0;
       std::uint64_t failing = 0;
       ServerObservation observation;
-      read_whole(array[i], field, server);
-      read_whole(array[i + 1], field, failing);
+      read_unsigned(array[i], field, server);
+      read_unsigned(array[i + 1], field, failing);
       read_number(array[i + 2], field, max_member_age_ms, observation.age_ms);
       read_number(array[i + 3], field, max_member_age_ms, observation.failing_for_ms);
       if (server > UINT32_MAX) fail(Kind::out_of_range, field, static_cast<double>(server));
       if (failing > 1) fail(Kind::out_of_range, field, static_cast<double>(failing));
       observation.server = static_cast<std::uint32_t>(server);
       observation.failing = failing == 1;
-      into.push_back(observation);
+      output.push_back(observation);
     }
   }
 
@@ -219,15 +221,15 @@
                               datagram.config_digest, static_cast<int>(datagram.kind), datagram.sent_at_ms,
                               datagram.recipient_incarnation, to_json(datagram.quotas), json::array()});
   EncodedDatagram encoded;
-  std::size_t size = checksum_bytes + json::to_cbor(payload).size() + array_head_bytes;
+  std::size_t size = checksum_bytes + json::to_cbor(payload).size() + extra_array_head_bytes;
   for (const auto& member : datagram.members) {
     auto array = to_json(member, datagram.config_digest);
     size += json::to_cbor(array).size();
     if (size > max_datagram_bytes || encoded.member_count >= max_members) break;
-    payload[members_at].push_back(std::move(array));
+    payload[members_index].push_back(std::move(array));
     ++encoded.member_count;
   }
-  encoded.bytes = with_checksum(payload);
+  encoded.bytes = prepend_checksum(payload);
   return encoded;
 }
 
@@ -243,12 +245,12 @@
   try {
     payload = json::from_cbor(cbor.begin(), cbor.end(), true, false);
   } catch (const json::exception&) {
-    // The library throws on an array with an impossible element count, even with exceptions disabled.
+    // The library throws on an array with an impossible element count even if exceptions are disabled.
     return DatagramError{.kind = Kind::malformed, .field = "cbor"};
   }
   if (!payload.is_array() || payload.empty())
     return DatagramError{.kind = Kind::malformed, .field = "datagram"};
-  if (payload[version_at] != format_version)
+  if (payload[version_index] != format_version)
     return DatagramError{.kind = Kind::unsupported_version, .field = "version"};
   return Decoder().decode(payload);
 }
--- a/src/membership/datagram_socket.cpp
+++ b/src/membership/datagram_socket.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr int max_datagrams_per_turn = 64;  // the event loop serves requests between two turns
+constexpr int max_datagrams_per_turn = 64;  // lets the event loop serve requests in between
 
-// Names in the log and in the metrics: interfaces of docs/operate/fleet.md.
+// Names in the log and in the metrics, which docs/operate/fleet.md documents; must not change.
 constexpr std::array<std::string_view, static_cast<std::size_t>(DropReason::count)> reason_names{
     "unlisted sender", "torn", "foreign version", "out of range", "earlier boot", "doubled or late"};
 
-// Rewrites an address from the file so that its text equals that of a received datagram's address.
-transport::Address canonical(const transport::Address& address) {
+// Converts a configured address so that its text equals the text of a received datagram's address.
+transport::Address canonical_address(const transport::Address& address) {
   sockaddr_storage raw{};
   std::memcpy(&raw, address.raw(), address.size());
   return transport::Address::seen(raw, address.size());
@@ -62,7 +62,7 @@
   peers_ = std::move(peers);
   by_address_.clear();
   for (std::size_t i = 0; i < peers_.size(); ++i)
-    if (!peers_[i].name.empty()) by_address_[canonical(peers_[i].address).text()] = peer_at(i);
+    if (!peers_[i].name.empty()) by_address_[canonical_address(peers_[i].address).text()] = peer_at(i);
 }
 
 void DatagramSocket::send(PeerIndex peer, std::string_view bytes) {
@@ -84,7 +84,7 @@
     socklen_t from_size = sizeof from;
     auto size =
         recvfrom(fd_.get(), bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&from), &from_size);
-    if (size < 0 && errno == ECONNREFUSED) continue;  // the error of an earlier send, not of this receive
+    if (size < 0 && errno == ECONNREFUSED) continue;  // reports an earlier send, not this receive
     if (size < 0) return;
     receive(std::string_view(bytes.data(), static_cast<std::size_t>(size)),
             transport::Address::seen(from, from_size));
@@ -101,7 +101,7 @@
   auto decoded = decode_datagram(bytes);
   if (const auto* error = std::get_if<DatagramError>(&decoded)) return count_drop(drop_reason(*error));
   const auto& datagram = std::get<Datagram>(decoded);
-  // An address belongs to one name.
+  // The peer at this address must use its configured name.
   if (datagram.from != peers_[slot(sender->second)].name) return count_drop(DropReason::unlisted_sender);
   receiver_(sender->second, datagram, clock_.now());
 }
--- a/src/membership/datagram_socket.hpp
+++ b/src/membership/datagram_socket.hpp
@@ -1,4 +1,4 @@
-// Sends and receives the datagrams of a fleet over one UDP socket on the event loop, and counts them.
+// The UDP socket over which an instance exchanges datagrams with the other instances of its fleet.
 #pragma once
 
 #include <array>
@@ -27,7 +27,7 @@
   duplicate_or_late,
   count
 };
-// The reason's name in the log and in the metrics.
+// Returns the reason's name in the log and in the metrics.
 std::string_view name_of(DropReason reason);
 
 // Totals since the start. Sizes are payload bytes.
@@ -36,40 +36,42 @@
   std::uint64_t sent_bytes = 0;
   std::uint64_t received = 0;
   std::uint64_t received_bytes = 0;
-  std::uint64_t unsent = 0;  // refused by the system
+  std::uint64_t unsent = 0;  // sends that the system refused
   std::array<std::uint64_t, static_cast<std::size_t>(DropReason::count)> dropped{};
 };
 
-// The peer at an index: its name, and the source and destination address of its datagrams.
+// The name and UDP address of the peer at an index. The peer sends from and receives at this address.
 struct PeerEndpoint {
   std::string name;  // empty: the index is unused
   transport::Address address;
 };
 
-// Owns the descriptor; the peers and the receiver are the caller's.
+// Sends, receives and counts datagrams on the event loop. Drops datagrams that are invalid or not from a
+// peer. Owns the descriptor.
 class DatagramSocket final : transport::Ready {
  public:
-  // Called for each datagram of a peer given with set_peers(). `now_ms` is read after the receipt, so that a
-  // lease never counts from an earlier time, even when the process was paused.
+  // Called for each valid datagram from a peer. `now_ms` is read after the receipt, so that a lease never
+  // counts from an earlier time, even if the process was paused in between.
   using Receiver = std::function<void(PeerIndex peer, const Datagram& datagram, double now_ms)>;
 
-  // `loop` and `clock` outlive the socket.
+  // `loop` and `clock` must outlive the socket.
   DatagramSocket(transport::Loop& loop, const transport::Clock& clock, Receiver receiver);
   ~DatagramSocket();
   DatagramSocket(const DatagramSocket&) = delete;
   DatagramSocket& operator=(const DatagramSocket&) = delete;
 
-  // Binds to `address`. On the system's error the socket is unchanged.
+  // Binds to `address`. Returns the system's error and leaves the socket unchanged on failure.
   [[nodiscard]] std::error_code open(const transport::Address& address);
-  // Releases the address; open() may follow. A closed socket drops sends without counting them.
+  // Releases the address; open() may be called again. While closed, send() does nothing.
   void close();
   [[nodiscard]] bool is_open() const { return static_cast<bool>(fd_); }
 
-  // The peers by index. Datagrams from any other address are dropped.
+  // Replaces the list of peers, by index. Datagrams from any other address are dropped.
   void set_peers(std::vector<PeerEndpoint> peers);
-  // Sends at most max_datagram_bytes. A datagram that the system refuses is lost and counted as unsent.
+  // Sends `bytes`, of which there are at most max_datagram_bytes. A datagram that the system refuses is
+  // counted as unsent and not retried.
   void send(PeerIndex peer, std::string_view bytes);
-  // Counts a datagram that the receiver dropped.
+  // Counts a datagram that was dropped for `reason`.
   void count_drop(DropReason reason) { ++counters_.dropped[static_cast<std::size_t>(reason)]; }
   [[nodiscard]] const DatagramCounters& counters() const { return counters_; }
 
--- a/src/membership/gossip_codec.hpp
+++ b/src/membership/gossip_codec.hpp
@@ -1,5 +1,5 @@
-// Encodes and decodes the gossip between the balancers of a tier. The policy decides what is published and
-// how received content is used.
+// Encodes and decodes the gossip between the balancers of a tier. The policy decides what to publish and how
+// to use received content.
 #pragma once
 
 #include <optional>
@@ -10,9 +10,9 @@
 
 namespace meadowgauge {
 
-// Never fails. Omits entries beyond max_gossip_endpoints and max_gossip_keys.
+// Encodes `content`, without the entries beyond max_gossip_endpoints and max_gossip_keys. Never fails.
 std::string encode_gossip(const GossipContent& content);
-// No value for bytes that are truncated, corrupted or of another version.
+// Decodes encoded gossip. Returns no value if the bytes are truncated, corrupted or of another version.
 std::optional<GossipContent> decode_gossip(std::string_view bytes);
 
 }  // namespace meadowgauge
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr double unscaled_fleet_size = 100;      // instances up to which the configured ages hold
-constexpr std::uint64_t window_bits = 64;        // sequence numbers tracked for duplicates
-constexpr double max_clock_drift_ratio = 0.001;  // drift between two clocks over elapsed time
-constexpr std::size_t max_gossip_states = 64;    // above what fits into a datagram
+constexpr double unscaled_fleet_size = 100;  // number of instances up to which the configured ages apply
+constexpr std::uint64_t sequence_window_size = 64;  // recent sequence numbers checked for duplicates
+constexpr double max_clock_drift_ratio = 0.001;     // drift between two clocks / elapsed time
+constexpr std::size_t max_gossip_states = 64;       // more than fit into a datagram
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   }
   target_order_.clear();
   next_target_ = 0;
-  time_scale_ = std::max(1.0, static_cast<double>(by_name_.size() + 1) / unscaled_fleet_size);
+  age_scale_ = std::max(1.0, static_cast<double>(by_name_.size() + 1) / unscaled_fleet_size);
 }
 
 std::optional<PeerIndex> MemberTable::find(std::string_view name) const {
@@ -52,11 +52,12 @@
 
 double MemberTable::age_ms(PeerIndex peer, double now_ms) const {
   const auto& member = at(peer);
-  return member.known ? std::max(0.0, now_ms - member.made_at_ms) : std::numeric_limits<double>::infinity();
+  return member.has_state ? std::max(0.0, now_ms - member.made_at_ms)
+                          : std::numeric_limits<double>::infinity();
 }
 
 MemberStatus MemberTable::status(PeerIndex peer, double now_ms) const {
-  double scaled_age_ms = age_ms(peer, now_ms) / time_scale_;
+  double scaled_age_ms = age_ms(peer, now_ms) / age_scale_;
   if (scaled_age_ms < timing_.suspected_after_ms) return MemberStatus::alive;
   return scaled_age_ms < timing_.gone_after_ms ? MemberStatus::suspected : MemberStatus::gone;
 }
@@ -69,11 +70,11 @@
 }
 
 bool MemberTable::is_gone(const Peer& peer, double now_ms) const {
-  return !peer.known || now_ms - peer.made_at_ms >= timing_.gone_after_ms * time_scale_;
+  return !peer.has_state || now_ms - peer.made_at_ms >= timing_.gone_after_ms * age_scale_;
 }
 
-// A clock set back before a restart gives a lower incarnation than the current one. It is accepted once the
-// current incarnation counts as gone.
+// If a member's clock was set back before a restart, its new incarnation is lower than the current one. The
+// new incarnation is accepted once the current one counts as gone.
 bool MemberTable::accept_incarnation(Peer& peer, std::uint64_t incarnation, double now_ms) {
   if (incarnation == peer.incarnation) return true;
   if (incarnation < peer.incarnation && !is_gone(peer, now_ms)) return false;
@@ -81,24 +82,24 @@
   return true;
 }
 
-// Accepts reordered datagrams within the window and rejects duplicates.
+// Accepts reordered datagrams within the window of sequence numbers and rejects duplicates.
 Freshness MemberTable::accept_datagram(PeerIndex peer, std::uint64_t incarnation, std::uint64_t sequence,
                                        double now_ms) {
   auto& sender = at(peer);
   if (!accept_incarnation(sender, incarnation, now_ms)) return Freshness::earlier_incarnation;
   if (sequence > sender.sequence) {
     auto ahead = sequence - sender.sequence;
-    sender.received_window = ahead >= window_bits ? 1 : sender.received_window << ahead | 1;
+    sender.received_window = ahead >= sequence_window_size ? 1 : sender.received_window << ahead | 1;
     sender.sequence = sequence;
     return Freshness::fresh;
   }
   auto behind = sender.sequence - sequence;
-  if (behind >= window_bits || (sender.received_window >> behind & 1)) return Freshness::duplicate;
+  if (behind >= sequence_window_size || (sender.received_window >> behind & 1)) return Freshness::duplicate;
   sender.received_window |= std::uint64_t{1} << behind;
   return Freshness::fresh;
 }
 
-// Raises the minimum offset by the possible clock drift since its last update.
+// Before the comparison, raises the minimum offset by the possible clock drift since its last update.
 double MemberTable::transit_delay_ms(PeerIndex peer, double sent_at_ms, double now_ms) {
   auto& sender = at(peer);
   double offset_ms = now_ms - sent_at_ms;
@@ -112,16 +113,16 @@
   return offset_ms - min_offset_ms;
 }
 
-// Dates a state by its age, not by its arrival, so that a forwarded state does not look younger.
+// Dates a state by its age rather than its arrival, so that forwarding does not make it look newer.
 Freshness MemberTable::merge(const MemberState& state, double now_ms) {
   auto peer = find(state.name);
   if (!peer) return Freshness::duplicate;
   auto& member = at(*peer);
   if (!accept_incarnation(member, state.incarnation, now_ms)) return Freshness::earlier_incarnation;
-  if (member.known && state.heartbeat <= member.state.heartbeat) return Freshness::duplicate;
+  if (member.has_state && state.heartbeat <= member.state.heartbeat) return Freshness::duplicate;
   member.state = state;
   member.made_at_ms = now_ms - state.age_ms;
-  member.known = true;
+  member.has_state = true;
   return Freshness::fresh;
 }
 
@@ -134,7 +135,7 @@
   }
 }
 
-// Cycles over all members in a random order per cycle, so that no member waits longer than two cycles.
+// Cycles over all members in a new random order each cycle, so that no member waits longer than two cycles.
 std::vector<PeerIndex> MemberTable::next_targets() {
   std::vector<PeerIndex> targets;
   for (int k = 0; k < timing_.fanout; ++k) {
@@ -158,24 +159,24 @@
 }
 
 // Forwards the members' states round-robin over the datagrams. Sorting by age instead would starve the
-// members that are seldom received.
+// members from which states arrive rarely.
 std::vector<MemberState> MemberTable::states_to_gossip(const MemberState& own, double now_ms) {
   std::vector<MemberState> states{own};
-  forwarding_.clear();
+  forwarded_origins_.clear();
   for (std::size_t k = 0; k < peers_.size() && states.size() < max_gossip_states; ++k) {
-    auto index = (next_forwarded_ + k) % peers_.size();
+    auto index = (next_forwarded_slot_ + k) % peers_.size();
     const auto& peer = peers_[index];
     if (peer.name.empty() || is_gone(peer, now_ms)) continue;
     states.push_back(peer.state);
     states.back().age_ms = std::max(0.0, now_ms - peer.made_at_ms);
-    forwarding_.push_back(peer_at(index));
+    forwarded_origins_.push_back(peer_at(index));
   }
   return states;
 }
 
 void MemberTable::gossip_sent(std::size_t states) {
-  if (states < 2 || states - 2 >= forwarding_.size()) return;
-  next_forwarded_ = slot(forwarding_[states - 2]) + 1;
+  if (states < 2 || states - 2 >= forwarded_origins_.size()) return;
+  next_forwarded_slot_ = slot(forwarded_origins_[states - 2]) + 1;
 }
 
 std::optional<BrokenInvariant> MemberTable::broken_invariant() const {
@@ -206,7 +207,7 @@
 }
 
 std::optional<BrokenInvariant> MemberTable::broken_invariant(const Peer& peer) {
-  if (peer.name.empty() && (peer.known || peer.sequence > 0))
+  if (peer.name.empty() && (peer.has_state || peer.sequence > 0))
     return BrokenInvariant{.invariant = Invariant::free_slot_empty,
                            .value = static_cast<double>(peer.sequence),
                            .member = peer.state.name};
@@ -214,11 +215,11 @@
     return BrokenInvariant{.invariant = Invariant::highest_sequence_received,
                            .value = static_cast<double>(peer.sequence),
                            .member = peer.name};
-  if (!peer.known) return {};
+  if (!peer.has_state) return {};
   if (peer.state.name != peer.name)
-    return BrokenInvariant{.invariant = Invariant::state_of_its_member, .member = peer.name};
+    return BrokenInvariant{.invariant = Invariant::state_matches_member, .member = peer.name};
   if (peer.state.incarnation != peer.incarnation)
-    return BrokenInvariant{.invariant = Invariant::state_of_current_incarnation,
+    return BrokenInvariant{.invariant = Invariant::state_matches_incarnation,
                            .value = static_cast<double>(peer.state.incarnation),
                            .bound = static_cast<double>(peer.incarnation),
                            .member = peer.name};
--- a/tests/fleet/config_agreement_test.cpp
+++ b/tests/fleet/config_agreement_test.cpp
@@ -1,4 +1,5 @@
-// Comparison of the members' files, the offers that count, and the budget of lease datagrams, as values.
+// Comparison of the members' configurations, the offers that an instance may use, and the budget of lease
+// datagrams. An instance that lends or borrows while the files differ would break the fleet-wide limit.
 #include "fleet/config_agreement.hpp"
 
 #include <gtest/gtest.h>
@@ -11,8 +12,8 @@
 constexpr std::uint64_t own_digest = 5;
 constexpr std::uint64_t other_digest = 6;
 
-// This instance is `b0`; suspected after 1500 ms, gone after 5000 ms.
-membership::MemberTable three_members() {
+// The table of `b0`, in which members are suspected after 1500 ms and gone after 5000 ms.
+membership::MemberTable table_of_three_members() {
   membership::MemberTable members("b0", 1, {}, 1);
   members.set_members({"b0", "b1", "b2"});
   return members;
@@ -29,18 +30,18 @@
 }
 
 TEST(ConfigAgreements, AllAgreeOnceEveryMemberSentTheSameDigest) {
-  auto members = three_members();
-  EXPECT_FALSE(compare_configs(members, own_digest, 0).all_agree);  // no member was seen yet
+  auto members = table_of_three_members();
+  EXPECT_FALSE(compare_configs(members, own_digest, 0).all_agree);  // no state was received yet
   EXPECT_FALSE(compare_configs(members, own_digest, 0).live_member_differs);
   receive(members, "b1", own_digest, 0);
   EXPECT_FALSE(compare_configs(members, own_digest, 0).all_agree);
   receive(members, "b2", own_digest, 0);
   EXPECT_TRUE(compare_configs(members, own_digest, 0).all_agree);
-  EXPECT_TRUE(compare_configs(members, own_digest, 60000).all_agree);  // gone, but with the same file
+  EXPECT_TRUE(compare_configs(members, own_digest, 60000).all_agree);  // gone, but the digests agree
 }
 
 TEST(ConfigAgreements, DifferingMemberCountsAsLiveUntilItIsGone) {
-  auto members = three_members();
+  auto members = table_of_three_members();
   receive(members, "b1", own_digest, 0);
   receive(members, "b2", other_digest, 0);
   for (double now_ms : {0.0, 1500.0, 4999.0}) {
@@ -51,8 +52,8 @@
   EXPECT_FALSE(compare_configs(members, own_digest, 5000).live_member_differs);
 }
 
-TEST(ConfigAgreements, OffersCountFromAliveMembersWithTheSameFile) {
-  auto members = three_members();
+TEST(ConfigAgreements, OffersAreUsableFromAliveAgreeingMembers) {
+  auto members = table_of_three_members();
   auto b1 = members.find("b1").value();
   auto b2 = members.find("b2").value();
   EXPECT_TRUE(usable_offer(members, b1, own_digest, 0).empty());
@@ -63,7 +64,7 @@
   EXPECT_TRUE(usable_offer(members, b2, own_digest, 0).empty());
 }
 
-TEST(DatagramBudgets, OneSecondOfDatagramsAtOnceThenAtTheRate) {
+TEST(DatagramBudgets, BurstOfOneSecondThenTheConfiguredRate) {
   DatagramBudget budget;
   double now_ms = 1796000000000;
   int sent = 0;
--- a/tests/fleet/fleet_traffic_test.cpp
+++ b/tests/fleet/fleet_traffic_test.cpp
@@ -1,4 +1,6 @@
-// Fleet-wide limits under traffic that moves between instances, in simulated time.
+// Fleet-wide limits under traffic that is uneven or moves between instances, in simulated time. If leases do
+// not follow the demand, the fleet admits much less than the limit allows. The admitted requests must never
+// exceed the limit's rate and burst.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,15 +14,15 @@
 namespace meadowgauge::fleet {
 namespace {
 
-// One limit over several instances, with traffic that depends on instance and time.
+// One limit over several instances, with a demand that depends on the instance and the time.
 struct Traffic {
   int instances = 6;
   std::function<double(int instance, double now_ms)> demand;  // requests a second
   double measured_from_ms = 2000;
   double measured_until_ms = 8000;
-  double rate = 300;                 // requests a second, of the fleet
+  double rate = 300;                 // requests a second, of the whole fleet
   double burst = 60;                 // requests
-  std::vector<double> weights = {};  // of the instances' shares; empty: equal
+  std::vector<double> weights = {};  // of the instances; empty: equal weights
 };
 
 std::vector<SharedLimits> start_instances(const Traffic& traffic) {
@@ -59,7 +61,7 @@
   EXPECT_EQ(describe(limits.broken_invariant(now_ms)), "");
 }
 
-// The admitted share of the limit in simulated time. Checks the bound at each ms.
+// Returns the admitted rate as a share of the limit's rate. Checks the bound of the fleet every ms.
 double admitted_share(const Traffic& traffic) {
   auto fleet = start_instances(traffic);
   std::minstd_rand rng(7);
@@ -79,13 +81,13 @@
       exchange_offers(fleet, i, now_ms);
       exchange_leases(fleet, i, now_ms);
     }
-    EXPECT_GE(bucket, -1e-6) << "over the bound at " << now_ms;
+    EXPECT_GE(bucket, -1e-6) << "admitted beyond rate and burst at ms " << now_ms;
     if (bucket < -1e-6) break;
   }
   return admitted / (traffic.measured_until_ms - traffic.measured_from_ms) * 1000 / traffic.rate;
 }
 
-// Shares of the demand at six instances: 35, 35, 10, 10, 5 and 5 percent.
+// The share of the demand at each of six instances: 35, 35, 10, 10, 5 and 5 percent.
 double uneven_share(int instance) { return instance < 2 ? 0.35 : instance < 4 ? 0.1 : 0.05; }
 
 TEST(FleetTraffic, QuotasFollowUnevenDemand) {
@@ -98,7 +100,7 @@
   EXPECT_GT(admitted_share({.demand = moving, .measured_from_ms = 6000, .measured_until_ms = 10000}), 0.95);
 }
 
-// Eight of the hundred instances own most of the shares.
+// Eight other instances own nearly the whole limit, so few lease requests must find the large lenders.
 TEST(FleetTraffic, QuotasFollowDemandAtOneOfAHundred) {
   std::vector<double> weights(100, 1);
   std::fill(weights.begin(), weights.begin() + 8, 1000);
@@ -111,7 +113,7 @@
 }
 
 TEST(FleetTraffic, BelowTheLimitNothingIsRejected) {
-  // Demand is 240 of 300 a second, so a share of 0.79 admits all but a hundredth of it.
+  // The demand is 240 of 300 requests a second, so a share of 0.79 admits all but about 1% of it.
   EXPECT_GT(admitted_share(
                 {.demand = [](int i, double) { return 240 * uneven_share(i); }, .measured_until_ms = 12000}),
             0.79);
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,4 +1,4 @@
-// Datagrams and the member table as values: truncated, changed and foreign bytes; early incarnations,
+// The datagram format and the member table: truncated, changed and random bytes; earlier incarnations,
 // duplicates and delays; fleets of 3, 30 and 300 instances in simulated time.
 #include <gtest/gtest.h>
 
@@ -16,16 +16,16 @@
 namespace meadowgauge::membership {
 namespace {
 
-constexpr PeerIndex first{0};
+constexpr PeerIndex b1{0};
 
-Datagram some_datagram() {
+Datagram sample_datagram() {
   auto datagram = test::datagram_from_b0(DatagramKind::lease_request);
   datagram.members = test::two_member_states(test::other_config_digest);
   datagram.quotas = test::two_quotas();
   return datagram;
 }
 
-// The kind of error in `bytes`; no value where they are a datagram.
+// Returns the kind of error in `bytes`; no value if they are a valid datagram.
 std::optional<DatagramError::Kind> error_in(std::string_view bytes) {
   auto result = decode_datagram(bytes);
   if (const auto* error = std::get_if<DatagramError>(&result)) return error->kind;
@@ -35,8 +35,8 @@
 constexpr auto malformed = DatagramError::Kind::malformed;
 constexpr auto out_of_range = DatagramError::Kind::out_of_range;
 
-TEST(Datagrams, AreDecodedAsTheyWereEncoded) {
-  auto sent = some_datagram();
+TEST(Datagrams, DecodingRestoresTheEncodedFields) {
+  auto sent = sample_datagram();
   auto encoded = encode_datagram(sent);
   EXPECT_EQ(encoded.member_count, 2u);
   auto back = test::decode_or_fail(encoded.bytes);
@@ -52,7 +52,7 @@
 }
 
 TEST(Datagrams, StatesBeyondTheSizeLimitAreLeftOut) {
-  auto sent = some_datagram();
+  auto sent = sample_datagram();
   sent.members.resize(60, sent.members[0]);
   auto encoded = encode_datagram(sent);
   EXPECT_LE(encoded.bytes.size(), max_datagram_bytes);
@@ -61,8 +61,8 @@
   EXPECT_EQ(test::decode_or_fail(encoded.bytes).members.size(), encoded.member_count);
 }
 
-TEST(Datagrams, AreMalformedWhenTruncatedOrChangedAnywhere) {
-  auto bytes = encode_datagram(some_datagram()).bytes;
+TEST(Datagrams, TruncatedOrChangedBytesAreMalformed) {
+  auto bytes = encode_datagram(sample_datagram()).bytes;
   for (std::size_t n = 0; n < bytes.size(); ++n) {
     EXPECT_EQ(error_in(bytes.substr(0, n)), malformed) << n;
     auto other = bytes;
@@ -71,10 +71,10 @@
   }
 }
 
-// The checksum is right, so that the decoder reads the fields.
-TEST(Datagrams, AreRefusedWithFieldsOutOfRange) {
+// The checksum is valid, so the decoder must check the fields themselves.
+TEST(Datagrams, FieldsOutOfRangeAreRejected) {
   auto with = [&](auto change) {
-    auto datagram = some_datagram();
+    auto datagram = sample_datagram();
     change(datagram);
     return error_in(encode_datagram(datagram).bytes);
   };
@@ -92,7 +92,7 @@
   EXPECT_EQ(with([](Datagram& d) { d.from = std::string(49, 'x'); }), malformed);
   EXPECT_EQ(with([](Datagram& d) { d.from = ""; }), malformed);
   std::mt19937 rng(3);
-  for (int k = 0; k < 20000; ++k) {  // random bytes under a right checksum
+  for (int k = 0; k < 20000; ++k) {  // random bytes with a valid checksum
     std::string bytes(8 + rng() % 80, '\0');
     for (auto& c : bytes) c = static_cast<char>(rng());
     auto checksum = digest(std::string_view(bytes).substr(8));
@@ -102,7 +102,7 @@
 }
 
 TEST(Datagrams, ErrorNamesTheFieldAndItsValue) {
-  auto datagram = some_datagram();
+  auto datagram = sample_datagram();
   datagram.members[1].age_ms = 60001;
   auto result = decode_datagram(encode_datagram(datagram).bytes);
   const auto* error = std::get_if<DatagramError>(&result);
@@ -111,45 +111,47 @@
   EXPECT_EQ(error->value, 60001);
 }
 
-MemberTable table_of(int n, int me, const GossipTiming& timing = {}) {
+MemberTable table_of(int n, int own_index, const GossipTiming& timing = {}) {
   std::vector<std::string> names;
   for (int i = 0; i < n; ++i) names.push_back("b" + std::to_string(i));
-  MemberTable r(names[static_cast<std::size_t>(me)], 1796000000000, timing, static_cast<std::uint64_t>(me));
+  MemberTable r(names[static_cast<std::size_t>(own_index)], 1796000000000, timing,
+                static_cast<std::uint64_t>(own_index));
   r.set_members(names);
   return r;
 }
 
 TEST(MemberTables, DuplicatesAndEarlierIncarnationsAreDropped) {
   auto r = table_of(3, 0);
-  EXPECT_EQ(r.accept_datagram(first, 50, 10, 0), Freshness::fresh);
-  EXPECT_EQ(r.accept_datagram(first, 50, 10, 0), Freshness::duplicate);
-  EXPECT_EQ(r.accept_datagram(first, 50, 8, 0), Freshness::fresh);  // reordered in transit
-  EXPECT_EQ(r.accept_datagram(first, 50, 8, 0), Freshness::duplicate);
-  EXPECT_EQ(r.accept_datagram(first, 50, 100, 0), Freshness::fresh);
-  EXPECT_EQ(r.accept_datagram(first, 50, 30, 0), Freshness::duplicate);  // too old to distinguish
+  EXPECT_EQ(r.accept_datagram(b1, 50, 10, 0), Freshness::fresh);
+  EXPECT_EQ(r.accept_datagram(b1, 50, 10, 0), Freshness::duplicate);
+  EXPECT_EQ(r.accept_datagram(b1, 50, 8, 0), Freshness::fresh);  // reordered in transit
+  EXPECT_EQ(r.accept_datagram(b1, 50, 8, 0), Freshness::duplicate);
+  EXPECT_EQ(r.accept_datagram(b1, 50, 100, 0), Freshness::fresh);
+  EXPECT_EQ(r.accept_datagram(b1, 50, 30, 0), Freshness::duplicate);  // older than the window
   EXPECT_EQ(r.merge({.name = "b1", .incarnation = 60, .heartbeat = 1, .lendable = {}}, 0), Freshness::fresh);
-  EXPECT_EQ(r.accept_datagram(first, 50, 101, 1), Freshness::earlier_incarnation);
-  EXPECT_EQ(r.accept_datagram(first, 60, 1, 1), Freshness::fresh);
-  // A clock set back before a restart: accepted once the other incarnation counts as gone.
+  EXPECT_EQ(r.accept_datagram(b1, 50, 101, 1), Freshness::earlier_incarnation);
+  EXPECT_EQ(r.accept_datagram(b1, 60, 1, 1), Freshness::fresh);
+  // After a clock was set back before a restart, the lower incarnation is accepted once the higher one is
+  // gone.
   EXPECT_EQ(r.merge({.name = "b1", .incarnation = 55, .heartbeat = 1, .lendable = {}}, 4000),
             Freshness::earlier_incarnation);
   EXPECT_EQ(r.merge({.name = "b1", .incarnation = 55, .heartbeat = 1, .lendable = {}}, 5001),
             Freshness::fresh);
 }
 
-TEST(MemberTables, StateIsDatedByItsMaking) {
+TEST(MemberTables, StateAgeCountsFromItsCreation) {
   auto r = table_of(3, 0);
-  EXPECT_EQ(r.status(first, 0), MemberStatus::gone);
+  EXPECT_EQ(r.status(b1, 0), MemberStatus::gone);
   r.merge({.name = "b1", .incarnation = 1, .heartbeat = 5, .age_ms = 1000, .lendable = {}}, 10000);
-  EXPECT_EQ(r.status(first, 10499), MemberStatus::alive);
-  EXPECT_EQ(r.status(first, 10500), MemberStatus::suspected);
-  EXPECT_EQ(r.status(first, 14000), MemberStatus::gone);
-  // Forwarded late by a member that was paused: the state is not younger for it.
+  EXPECT_EQ(r.status(b1, 10499), MemberStatus::alive);
+  EXPECT_EQ(r.status(b1, 10500), MemberStatus::suspected);
+  EXPECT_EQ(r.status(b1, 14000), MemberStatus::gone);
+  // A state that a paused member forwards late does not become younger.
   EXPECT_EQ(r.merge({.name = "b1", .incarnation = 1, .heartbeat = 5, .age_ms = 0, .lendable = {}}, 20000),
             Freshness::duplicate);
   EXPECT_EQ(r.merge({.name = "b1", .incarnation = 1, .heartbeat = 4, .age_ms = 0, .lendable = {}}, 20000),
             Freshness::duplicate);
-  EXPECT_EQ(r.status(first, 20000), MemberStatus::gone);
+  EXPECT_EQ(r.status(b1, 20000), MemberStatus::gone);
   EXPECT_EQ(
       r.merge({.name = "stranger", .incarnation = 1, .heartbeat = 4, .age_ms = 0, .lendable = {}}, 20000),
       Freshness::duplicate);
@@ -157,15 +159,15 @@
             Freshness::duplicate);
 }
 
-TEST(MemberTables, TransitDelayIsMeasuredAgainstTheQuickestDatagram) {
+TEST(MemberTables, TransitDelayIsRelativeToFastestDatagram) {
   auto r = table_of(3, 0);
-  r.accept_datagram(first, 50, 1, 1000);
-  EXPECT_EQ(r.transit_delay_ms(first, 100, 1000), 0);
-  EXPECT_NEAR(r.transit_delay_ms(first, 300, 1260), 60, 1);
-  EXPECT_NEAR(r.transit_delay_ms(first, 400, 1290), 0, 1);        // the fastest so far
-  EXPECT_NEAR(r.transit_delay_ms(first, 500, 11390), 10000, 11);  // this process was paused
-  r.accept_datagram(first, 60, 1, 12000);                         // a new incarnation has a new clock
-  EXPECT_EQ(r.transit_delay_ms(first, 5, 12000), 0);
+  r.accept_datagram(b1, 50, 1, 1000);
+  EXPECT_EQ(r.transit_delay_ms(b1, 100, 1000), 0);
+  EXPECT_NEAR(r.transit_delay_ms(b1, 300, 1260), 60, 1);
+  EXPECT_NEAR(r.transit_delay_ms(b1, 400, 1290), 0, 1);        // the fastest so far
+  EXPECT_NEAR(r.transit_delay_ms(b1, 500, 11390), 10000, 11);  // this process was paused
+  r.accept_datagram(b1, 60, 1, 12000);                         // a new incarnation starts a new minimum
+  EXPECT_EQ(r.transit_delay_ms(b1, 5, 12000), 0);
 }
 
 TEST(MemberTables, MemberListIsReplacedAsAWhole) {
@@ -188,11 +190,12 @@
   EXPECT_LE(r.slots(), 3u);
 }
 
-// Rounds of gossip in simulated time, with a share of the datagrams lost.
-struct Rounds {
-  Rounds(int n, double lost_share) : lost_share(lost_share) {
+// Runs rounds of gossip in simulated time and drops a share of the datagrams.
+struct SimulatedGossip {
+  SimulatedGossip(int n, double lost_share) : lost_share(lost_share) {
     for (int i = 0; i < n; ++i) all.push_back(table_of(n, i));
   }
+  // One round in which the instance with index `silent` sends nothing.
   void round(int silent = -1) {
     now_ms += 200;
     for (std::size_t i = 0; i < all.size(); ++i)
@@ -228,7 +231,7 @@
 
 TEST(MemberTables, LoadIsBoundedAndAllAreSeenAlive) {
   for (int n : {3, 30, 300}) {
-    Rounds r(n, 0.1);
+    SimulatedGossip r(n, 0.1);
     for (int k = 0; k < 20; ++k) r.round();
     std::size_t bytes_before = r.sent_bytes;
     std::uint64_t datagrams_before = r.datagrams;
@@ -257,8 +260,8 @@
   }
 }
 
-TEST(MemberTables, StoppedMemberIsGoneForAllInTime) {
-  Rounds r(30, 0.1);
+TEST(MemberTables, StoppedMemberIsGoneForAllWithinTimeout) {
+  SimulatedGossip r(30, 0.1);
   for (int k = 0; k < 20; ++k) r.round();
   for (int k = 0; k < 27; ++k) r.round(7);
   for (std::size_t i = 0; i < r.all.size(); ++i)
@@ -266,7 +269,7 @@
       EXPECT_EQ(r.all[i].status(r.all[i].find("b7").value(), r.now_ms), MemberStatus::gone);
       EXPECT_EQ(r.all[i].alive_count(r.now_ms), 28);
     }
-  // The member resumes with its heartbeat.
+  // The member resumes with its next heartbeat.
   r.round();
   for (int k = 0; k < 4; ++k) r.round();
   for (std::size_t i = 0; i < r.all.size(); ++i)
