--- a/src/fleet/limit.hpp
+++ b/src/fleet/limit.hpp
@@ -8,8 +8,8 @@
 
 // Special values of a limit's tenant or request class, in place of an index.
 inline constexpr int match_none = -3;    // matches no request: the file does not define the name
-inline constexpr int match_any = -2;     // matches every name; they share one limit
-inline constexpr int match_others = -1;  // matches names that are not in the file; they share one limit
+inline constexpr int match_any = -2;     // matches every name; all are counted together
+inline constexpr int match_others = -1;  // matches names that are not in the file; all are counted together
 
 // A fleet-wide rate limit on the requests of a tenant, of a request class, or of both.
 struct Limit {
--- a/src/fleet/outlier_verdicts.cpp
+++ b/src/fleet/outlier_verdicts.cpp
@@ -16,7 +16,7 @@
 // From this failing share on, an origin's own links are at fault and its reports do not count.
 constexpr double max_unhealthy_share = 0.5;
 constexpr double sighting_retention_ms = 2 * OutlierVerdicts::verdict_ms;
-constexpr std::size_t max_sightings = membership::max_observations * 8;  // of each other instance
+constexpr std::size_t max_sightings = membership::max_observations * 8;  // per origin, except this instance
 
 constexpr double never_ms = std::numeric_limits<double>::infinity();
 
@@ -141,8 +141,8 @@
 }
 
 // Returns whether this instance may try the server now. The failing reporters take turns, the one with the
-// oldest sighting first, because its policy's own ejection ends first. The first turn starts one trial
-// interval after the last failure, and each further turn two intervals later.
+// oldest sighting first, because its policy's own ejection ends first. The first may try one trial interval
+// after the last failure, and one more after every two further intervals without a newer failure.
 bool OutlierVerdicts::is_trial_due(const Assessment& assessment, const std::vector<std::string>& alive,
                                    double now_ms) const {
   struct TrialCandidate {
--- a/src/fleet/shared_limits.hpp
+++ b/src/fleet/shared_limits.hpp
@@ -30,8 +30,8 @@
 //
 // After a configuration change, lower values apply at once. Higher values apply after all members have sent
 // the same digest and one lease has passed, so that no instance still uses the old shares. After a start, the
-// own share is quarantined for one lease, since an earlier incarnation may have lent it.
-// docs/design/fleet-quotas.md
+// own share is quarantined for one lease, since an earlier incarnation may have lent it. Design:
+// docs/design/fleet-quotas.md.
 class SharedLimits {
  public:
   static constexpr std::size_t max_lenders = 16;  // bound on the lease requests of one round
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -24,7 +24,7 @@
 
 // Burst allowance.
 constexpr double burst_multiplier = 1.2;           // standard deviations of a Poisson count
-constexpr double burst_overload_span_ratio = 0.8;  // overload ratio above 1 at which the allowance reaches 0
+constexpr double burst_overload_span_ratio = 0.8;  // overload ratio - 1 at which the allowance reaches 0
 constexpr double burst_mean_start_ratio = 0.75;  // mean in flight / U at which the allowance begins to shrink
 constexpr double burst_mean_span_ratio = 0.5;    // further increase of that ratio that shrinks it to 0
 constexpr double busy_utilization_ratio = 0.8;   // above it the allowance is not multiplied
@@ -34,7 +34,7 @@
 // Uncongested number in flight.
 constexpr double uncongested_requests = 2;       // requests per endpoint and remaining tier, all balancers
 constexpr double spare_utilization_ratio = 0.6;  // below it U grows
-constexpr double max_spare_capacity_multiplier = 2;  // maximum growth of U
+constexpr double max_spare_capacity_multiplier = 2;  // upper bound of the factor on U
 
 constexpr double max_report_queue_share = 0.5;  // of the latency objective; reports are old and incomplete
 constexpr double min_timely_share = 0.05;       // lower bound of the share of attempts that did not time out
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -66,7 +66,7 @@
   FleetTrial fleet_trial = FleetTrial::none;
 
   int in_flight = 0;                   // attempts of this balancer
-  bool awaiting_first_outcome = true;  // no attempt has ended since it was added or restarted
+  bool awaiting_first_outcome = true;  // no outcome since added or restarted; cancellations excluded
   double last_activity_at_ms = 0;  // last byte or outcome received, or first attempt sent after being idle
 
   OutlierState outlier;
--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double panic_threshold_share = 0.5;      // below this share of healthy ready endpoints all are used
-constexpr double trial_repeatable_only_ms = 4000;  // after an ejection only repeatable requests are sent
+constexpr double trial_repeatable_only_ms = 4000;  // after an ejection: only repeatable requests as trials
 constexpr double undrained_repeatable_only_ms = 2000;  // the same after a manual drain
 constexpr double max_idle_requests = 0.5;          // an endpoint with fewer requests of this balancer is idle
 constexpr double remote_tie_break_requests = 0.1;  // load added to other zones: the local zone wins ties
--- a/src/policy/list_subscription.hpp
+++ b/src/policy/list_subscription.hpp
@@ -14,8 +14,9 @@
 // exponential backoff and jitter.
 //
 //   first delay = random from 0 to min(400 ms + 20 ms * balancers, subscribe_within_ms / 3)
-//   retry delay = (random from 0.5 to 1.5) * min(500 ms * 2^(consecutive failures - 1), subscribe_within_ms /
-//   3)
+//   retry delay = (random from 0.5 to 1.5) * min(500 ms * 2^(failures - 1), subscribe_within_ms / 3)
+//
+// where `failures` counts the consecutive failures, up to ten.
 //
 // States:
 //
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -11,11 +11,11 @@
 
 // Probes.
 constexpr int probes_per_request = 5;
-constexpr int draws_per_probe = 3;                 // random draws to find an endpoint that may be probed
-constexpr double probe_wait_multiplier = 2;        // a request waits this times a probe's mean duration
-constexpr double probe_fresh_multiplier = 5;       // a result is used for this times a probe's mean duration
-constexpr double probe_duration_gain = 0.02;       // weight of one probe
-constexpr double prediction_gain = 0.02;           // weight of one response
+constexpr int draws_per_probe = 3;            // limit on random draws, per probe to be sent
+constexpr double probe_wait_multiplier = 2;   // mean probe durations that a request waits, plus a wire tick
+constexpr double probe_fresh_multiplier = 5;  // mean probe durations that a result is used, plus two ticks
+constexpr double probe_duration_gain = 0.02;  // weight of one probe
+constexpr double prediction_gain = 0.02;      // weight of one response
 constexpr double min_prediction_multiplier = 0.5;  // lower bound of actual / predicted latency
 constexpr double max_prediction_multiplier = 2;
 
@@ -43,8 +43,8 @@
 
 double LoadEstimator::draw_first_gossip_delay_ms() { return random_.uniform() * gossip_interval_ms; }
 
-// Draws random endpoints that may receive the request. No probes are sent if waiting for them would take too
-// long for the request's deadline.
+// Draws random endpoints that may receive the request. Requests no probes if the request's deadline is at
+// most two probe waits away, since waiting would take too long.
 bool LoadEstimator::request_probes(Request& request, Decision& decision, double now_ms) {
   const auto& listed = endpoints_.listed();
   if (!uses_probes() || request.probes_requested_for_attempt > request.attempt_count || listed.empty())
@@ -217,8 +217,8 @@
   return fresh;
 }
 
-// Ignores reports that are not later than the known one, and reports on endpoints that are not in the list:
-// no request is sent to an endpoint that only gossip names.
+// Ignores reports that are not later than the known one or than the start of the endpoint's process, and
+// reports on endpoints that are not in the list: no request is sent to an endpoint that only gossip names.
 void LoadEstimator::gossip_received(const std::vector<EndpointReport>& reports, double now_ms) {
   for (const auto& report : reports) {
     auto has_id = [&](EndpointIndex index) { return endpoints_[index].id == report.id; };
--- a/src/policy/locality_router.cpp
+++ b/src/policy/locality_router.cpp
@@ -15,17 +15,17 @@
 constexpr double max_spillover_divisor = 10;  // highest number of balancers by which it is divided
 constexpr double latency_spillover_rate = 0.01;    // rise per tick if only latencies are known
 constexpr double spillover_decay_rate = 0.005;     // maximum fall per tick
-constexpr double spillover_gain = 0.15;            // rise per tick, over the excess utilization
+constexpr double spillover_gain = 0.15;            // rise per tick / excess utilization
 constexpr double min_busy_utilization = 0.5;       // a zone below this utilization has no excess
-constexpr double max_zone_imbalance_ratio = 1.25;  // own zone over the others, in utilization or latency
+constexpr double max_zone_imbalance_ratio = 1.25;  // own zone / other zones, in utilization or latency
 
 // Saturated zone.
-constexpr double saturated_multiplier = 0.7;  // over the uncongested number in flight per endpoint
+constexpr double saturated_multiplier = 0.7;  // of the uncongested number in flight per endpoint
 constexpr double preference_range_utilization =
     0.2;  // the preference grows over this range below the spare utilization
 
 // Moving averages.
-constexpr double report_time_constant_ms = 1500;  // time constant of a zone's utilization
+constexpr double report_time_constant_ms = 1500;  // time constant of a zone's average utilization
 constexpr double min_report_gain = 0.04;          // weight of one report
 constexpr double max_report_gain = 0.5;
 constexpr double duration_gain = 0.008;  // weight of one response
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -13,24 +13,24 @@
 // Ejection threshold.
 constexpr double failure_margin_share = 0.12;       // added to the peers' weighted failure share
 constexpr double peers_failure_multiplier = 1.5;    // weight of the peers' failure share
-constexpr double peers_prior_failures_count = 0.2;  // failures added to the peers' counted ones
-constexpr double peers_prior_outcomes_count = 1;    // other outcomes added to the peers' counted ones
+constexpr double peers_prior_failures_count = 0.2;  // added to the peers' failures, which may be none yet
+constexpr double peers_prior_outcomes_count = 1;    // added to their other outcomes, likewise
 
 // Duration of an ejection.
 constexpr double first_ejection_ms = 1000;
 constexpr double max_ejection_ms = 8000;
-constexpr double min_ejection_jitter_ratio = 0.8;    // lower end of the jitter, over the duration
-constexpr double ejection_jitter_range_ratio = 0.4;  // width of the jitter, over the duration
+constexpr double min_ejection_jitter_ratio = 0.8;    // shortest jittered duration / duration
+constexpr double ejection_jitter_range_ratio = 0.4;  // (longest - shortest jittered duration) / duration
 constexpr int max_counted_ejections = 8;             // highest count of consecutive ejections
 constexpr double ejection_count_reset_ms = 10000;    // healthy time that resets the count of ejections
 constexpr double successor_ejection_ms = 4 * first_ejection_ms;  // minimum in a successor process
 
 // Unresponsive endpoints.
 constexpr double min_unresponsive_ms = 400;
-constexpr double unresponsive_multiplier = 4;  // silence over the 95th percentile, at one request in flight
+constexpr double unresponsive_multiplier = 4;  // silence / 95th percentile, at one request in flight
 
 // 95th percentile.
-constexpr double p95_step_ratio = 0.02;  // step of the estimate, over the estimate
+constexpr double p95_step_ratio = 0.02;  // step of the estimate / estimate
 constexpr double p95_odds_ratio = 19;    // responses below the percentile for each one above
 
 // Latency relative to peers.
--- a/src/policy/policy_settings.hpp
+++ b/src/policy/policy_settings.hpp
@@ -53,7 +53,7 @@
   bool hedging_enabled = false;   // a request may have two attempts in flight
   bool can_cancel = false;        // attempts in flight can be cancelled
   double max_retry_after_ms = 0;  // 0: rejections have no Retry-After
-  double wire_tick_ms = 5;        // time resolution of the caller
+  double wire_tick_ms = 5;        // time resolution with which the caller sends and acts
 
   // Columns of load reports; -1: the reports do not have the column.
   int utilization_column = -1;  // in responses: utilization of the endpoint
@@ -62,8 +62,8 @@
 
   double initial_capacity_fraction = 0.2;  // share of its full capacity that an endpoint has when it starts
   double slow_start_ms = 20000;            // warm-up time of an endpoint
-  // Within any time of `overload_window_ms` a warming endpoint may get `overload_factor` times the requests
-  // of a warm endpoint, multiplied by its capacity fraction.
+  // A warming endpoint is assumed to bear `overload_factor` times its current capacity over
+  // `overload_window_ms`. Slow start sets its budgets by both.
   double overload_factor = 2;
   double overload_window_ms = 1500;
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -8,7 +8,7 @@
 constexpr double key_window_margin_share = 0.1;  // unused end of the time that servers remember a key
 constexpr double retry_reserve_ticks = 3;        // no retry within this many wire ticks of the deadline
 constexpr double response_reserve_ticks = 2;     // wire ticks before the deadline reserved for the response
-constexpr double early_limit_share = 0.5;        // time limit of an early timeout, over the latency objective
+constexpr double early_limit_share = 0.5;  // time limit of an attempt given up early / latency objective
 
 bool may_have_run(const Attempt& attempt) {
   using enum Outcome;
@@ -132,9 +132,9 @@
   return should_give_up_early(request, early_limit_ms) ? std::min(limit_ms, early_limit_ms) : limit_ms;
 }
 
-// Decides whether a first attempt times out early enough for a retry to meet the latency objective. This
-// requires that hedging is off, servers send load reports, the request is repeatable, the retry budget is not
-// spent, and the 95th latency percentile is below the early limit.
+// Decides whether a first attempt is given up early, so that a retry can still meet the latency objective.
+// Hedging must be off (a hedged request would serve instead), servers must report queue depths, a retry must
+// be possible (repeatable class, budget left), and 95% of the responses must be faster than the early limit.
 bool RetryPolicy::should_give_up_early(const Request& request, double early_limit_ms) const {
   if (parts_.settings.hedging_enabled || !parts_.load.uses_load_reports()) return false;
   if (request.attempt_count >= 2 || !parts_.classes.of(request).settings.repeatable()) return false;
--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -15,7 +15,7 @@
 
 // Interval between the releases of unused endpoint indices, drain aliases and buffers.
 constexpr double sweep_interval_ms = 200;
-// A loop turn is logged if it works for this long, or begins this long after its due time.
+// A loop turn that works for this long, or begins this long after its due time, is logged.
 constexpr double slow_turn_ms = 20;
 
 }  // namespace
@@ -72,7 +72,7 @@
   discovery_.start();
 }
 
-// --- The loop turn --------------------------------------------------------------------------------------
+// --- The loop turn ---------------------------------------------------------------------------------------
 
 void Balancer::run() {
   while (!shutdown_.finished()) {
--- a/src/proxy/discovery/client.cpp
+++ b/src/proxy/discovery/client.cpp
@@ -235,9 +235,9 @@
         {"reason", std::string_view(reason)}});
 }
 
-// Whether an open watch is replaced: by the call for the complete list, or, for a pushed watch, by a new
-// watch after too long a time without a list. A pushed drain takes effect as soon as the agent knows of it,
-// so the client must not rely on a watch that may have missed the drain.
+// Whether an open watch is replaced by the call for the complete list or, if lists are pushed and none has
+// arrived for first_line_timeout_ms(), by a new watch. A pushed drain takes effect as soon as the agent knows
+// of it, so the client must not rely on a watch that may have missed the drain.
 bool DiscoveryClient::is_renewal_due() const {
   return is_complete_list_due() || (pacing_.is_pushed() && now_ms_ >= renew_at_ms_);
 }
--- a/src/proxy/discovery/watch_pacing.cpp
+++ b/src/proxy/discovery/watch_pacing.cpp
@@ -112,9 +112,9 @@
   return is_pushed() ? 0 : complete_list_interval_ms * settings_.instances * (0.5 + 0.5 * random_fraction());
 }
 
-// The next call is made within one frame of the failed call, at the balancer's place. If the failed call was
-// not made at the balancer's place, the place may be later than one frame; the delay is then drawn at random
-// from the rest of that frame.
+// The next call is made at the balancer's place, within one frame from the start of the failed call. If the
+// failed call was not made at the balancer's place, the next place may be later than that. The delay is then
+// drawn at random from the time that is left.
 double WatchPacing::frame_backoff_ms(const FailedCall& call) {
   double place_ms = until_place_ms(call.failed_at_ms, frame_ms());
   // A call made at the balancer's place may be refused at once, and the rounded time may lie just before the
--- a/src/proxy/discovery/watch_pacing.hpp
+++ b/src/proxy/discovery/watch_pacing.hpp
@@ -61,8 +61,8 @@
   void record_silence();
   // Delay before an unreadable line, which may contain a drain, is requested again.
   double reread_delay_ms();
-  // Delay of a new process's first call: many processes may start together. Until then the process
-  // has only its configured list.
+  // Delay of a new process's first call, because many processes may start together. Until the call is
+  // answered, the process has only its configured list.
   [[nodiscard]] double first_call_delay_ms(double now_ms) const;
   // Records a failed call and returns the delay before the next one.
   double backoff_ms(const FailedCall& call);
--- a/src/proxy/downstream/connections.hpp
+++ b/src/proxy/downstream/connections.hpp
@@ -174,8 +174,8 @@
   bool accept_blocked_ = false;  // accepting stopped for lack of capacity or descriptors
   bool draining_ = false;        // each connection closes after its next response
   bool stopping_ = false;        // the listener closes once all queued connections are accepted
-  static constexpr ClientId accept_retry_id =
-      0;  // stands for the next attempt to accept, among the due times
+  // Stands for the next attempt to accept among the due times; no client has this id.
+  static constexpr ClientId accept_retry_id = 0;
   double accept_retry_due_ = transport::DueTimes::none;
   ClientId next_id_ = accept_retry_id + 1;
   std::unordered_map<ClientId, std::unique_ptr<Connection>> connections_;
--- a/src/proxy/downstream/responses.cpp
+++ b/src/proxy/downstream/responses.cpp
@@ -97,8 +97,8 @@
   if (it == connections_.end() || !it->second->response) return;
   auto& connection = *it->second;
   connection.response.reset();
-  // Without a length or chunked framing the close marks the end of the response, so a reset shows the
-  // truncation.
+  // Without a length or chunked framing an orderly close would mark the response as complete, so the
+  // connection is reset.
   if (!connection.chunked) connection.stream.reset();
   close(connection);
 }
@@ -132,7 +132,7 @@
 // Starts to send the response in the send queue. `written`: false if the pool ran out of buffers for it.
 void DownstreamConnections::start_sending(Connection& connection, bool written) {
   if (!written) {
-    // Sends a bare status line instead, which needs a single buffer.
+    // Sends a 500 without a body instead, which needs a single buffer.
     connection.stream.out().clear();
     connection.keep_alive = false;
     connection.status = 500;
--- a/src/proxy/downstream/shedding.cpp
+++ b/src/proxy/downstream/shedding.cpp
@@ -71,7 +71,7 @@
     const auto& [shed_class, since, id] = *it;
     if (shed_class == ShedClass::partial_request && scope == ShedScope::idle) break;
     // The grace period protects a client whose request is on the wire from being shed in a flood of new
-    // connections. The oldest of a class come first, so the rest of the class is in its grace too.
+    // connections. The oldest connection of a class comes first, so the others are in their grace period too.
     double grace_ms = shed_grace_ms(shed_class);
     if (scope != ShedScope::any && now_ms_ - since < grace_ms) {
       it = sheddable_.lower_bound(
--- a/src/proxy/endpoint/registry.cpp
+++ b/src/proxy/endpoint/registry.cpp
@@ -25,8 +25,8 @@
 // --- Rules -----------------------------------------------------------------------------------------------
 
 // Whether a recorded drain outweighs a listed active state. Within one start a server only goes from active
-// to leaving to left. The first list of a new discovery can't be ordered by version, so the later of the two
-// states is taken.
+// to leaving to left. The first list of a new discovery can't be ordered by version, so a recorded drain
+// holds unless the listed start is later.
 bool EndpointRegistry::keeps_draining(const ServerState& known, const EndpointListEntry& listed) const {
   return first_list_pending_ && listed.health == Health::active && known.health == Health::leaving &&
          known.started_ms >= listed.started_ms;
--- a/src/proxy/endpoint/registry.hpp
+++ b/src/proxy/endpoint/registry.hpp
@@ -58,11 +58,10 @@
   std::int64_t newest_version_ = no_version;
   std::int64_t newest_full_version_ = no_version;
   bool first_list_pending_ = false;  // no list of a new discovery has been received yet
-  // Late lists received since the last list at or above the newest version: the time of the first one, and
-  // the merged entries.
+  // When the first late list was received since the last list at or above the newest version.
   std::optional<double> late_since_ms_;
-  std::optional<std::map<std::string, protocol::EndpointListEntry>>
-      late_entries_;  // absent until a full list
+  // The merged entries of the late lists, from the last full one on; absent until a late list is full.
+  std::optional<std::map<std::string, protocol::EndpointListEntry>> late_entries_;
 };
 
 }  // namespace meadowgauge::proxy
--- a/src/proxy/request/admission.hpp
+++ b/src/proxy/request/admission.hpp
@@ -66,7 +66,7 @@
 struct Refusal {
   RefusalReason reason = RefusalReason::at_capacity;
   int request_class = -1;     // -1: unknown; such a request is not counted
-  double retry_after_ms = 0;  // value of the Retry-After header, in ms; 0: no header
+  double retry_after_ms = 0;  // wait stated in the Retry-After header; 0: no header
 
   // The HTTP status of the response.
   [[nodiscard]] int status() const;
--- a/src/proxy/request/forwarder.cpp
+++ b/src/proxy/request/forwarder.cpp
@@ -130,8 +130,8 @@
     request_filter_->release(admitted.tenant, admitted.request_class);
 }
 
-// A graceful shutdown shortens the budget: the policy and the endpoint must see the time until the shutdown
-// fails unanswered requests, not the client's whole budget.
+// A graceful shutdown fails unanswered requests before the process exits. The policy and the endpoint must
+// see the time that is left until that failure, not the client's whole budget.
 double RequestForwarder::response_due_ms(double budget_ms) const {
   return std::min(now_ms_ + budget_ms - delivery_delay_ms, shutdown_.responses_due_ms());
 }
@@ -283,7 +283,8 @@
 
 // --- Actions of the policy --------------------------------------------------------------------------------
 
-// Removes a request whose final response is decided from the unanswered requests. Returns its client.
+// Called once the final response to a request is decided: removes the request from the unanswered requests
+// and ends its unsent attempts. Returns its client.
 ClientId RequestForwarder::close_request(RequestNumber number) {
   const auto& request = in_flight_.at(number);
   abandon_unsent_attempts(number);
--- a/src/proxy/request/table.hpp
+++ b/src/proxy/request/table.hpp
@@ -117,8 +117,8 @@
 
   [[nodiscard]] static RequestState next_state(const Entry& entry, const Decision& decision);
   void carry_out(Entries::iterator it, const Decision& decision, double now_ms);
-  // Limits how late the unsent earlier attempts may be sent: the new attempt may run before them, and the
-  // request would run again.
+  // Called when a further attempt is decided. Limits how late the earlier unsent attempts may be sent: the
+  // new attempt may run before them, and a late send would run the request again.
   void limit_earlier_attempts(RequestNumber number, const Request& request, double now_ms);
   void set_due(RequestNumber number, Entry& entry, double at_ms);
   // Takes the time limit of the latest attempt from the policy, and schedules the next decision.
--- a/src/proxy/upstream/attempt.cpp
+++ b/src/proxy/upstream/attempt.cpp
@@ -10,9 +10,9 @@
 
 // Maximum time between two received parts of a streamed response that is not paused.
 constexpr double stream_stall_ms = 10000;
-// A streamed response that fits in the buffer is due at its request's deadline. After the deadline the
-// response may still grow beyond the buffer, so it may continue with gaps of up to `max_late_byte_gap_ms`
-// between received bytes, until `max_lateness_ms` past the deadline.
+// A streamed response that fits in the buffer so far is due at its request's deadline. It may still turn out
+// larger than the buffer, so while bytes arrive at most `max_late_byte_gap_ms` apart the response may
+// continue until `max_lateness_ms` past the deadline.
 constexpr double max_late_byte_gap_ms = 200;
 constexpr double max_lateness_ms = 400;
 
@@ -47,8 +47,8 @@
   phase_ = Phase::streaming_response;
 }
 
-// An unsent attempt times out at `send_by_ms`: after the window of its idempotency key the endpoint could
-// execute the request a second time.
+// An unsent attempt times out at `send_by_ms` at the latest: after the window of its idempotency key the
+// endpoint could execute the request a second time.
 double UpstreamAttempt::timeout_at_ms() const {
   if (is_sent()) return deadlines_.limit_at_ms;
   double sent_by_ms = std::min(deadlines_.limit_at_ms, deadlines_.send_by_ms);
--- a/src/proxy/upstream/connection.hpp
+++ b/src/proxy/upstream/connection.hpp
@@ -82,7 +82,7 @@
   [[nodiscard]] double response_head_at_ms() const { return response_head_at_ms_; }
   void set_response_head_at_ms(double at_ms) { response_head_at_ms_ = at_ms; }
 
-  // The time since which the connection is idle in the pool.
+  // Since when the connection has been idle in the pool.
   void set_idle_since_ms(double now_ms) { idle_since_ms_ = now_ms; }
   [[nodiscard]] double idle_since_ms() const { return idle_since_ms_; }
   // Idle time before the attempt in flight.
--- a/src/proxy/upstream/connection_pool.hpp
+++ b/src/proxy/upstream/connection_pool.hpp
@@ -89,7 +89,8 @@
 
   // Closes all idle connections of the endpoint.
   void close_idle(EndpointIndex endpoint);
-  // Closes all idle connections of the endpoint if it has sent nothing after `since_ms` on any connection.
+  // Closes all idle connections of the endpoint if it has sent no bytes on any connection, and accepted no
+  // dial, after `since_ms`.
   void close_idle_if_silent(EndpointIndex endpoint, double since_ms);
   // Closes connections that have been idle for too long to be reused. To be called periodically.
   void close_expired();
--- a/src/proxy/upstream/exchange.cpp
+++ b/src/proxy/upstream/exchange.cpp
@@ -229,7 +229,7 @@
 
 // --- End of the response ---------------------------------------------------------------------------------
 
-// Unless the request was sent, the endpoint cannot have executed it.
+// The outcome depends on whether the request was sent: only then may the endpoint have executed it.
 void Upstreams::response_invalid(UpstreamConnection& connection, AttemptEntry entry) {
   bool sent = entry->second.is_sent();
   connections_.close(connection);
--- a/src/proxy/upstream/upstreams.hpp
+++ b/src/proxy/upstream/upstreams.hpp
@@ -164,7 +164,7 @@
   Logger log_;
   EndpointSlots endpoints_;
   ConnectionPool connections_;
-  std::vector<std::deque<AttemptId>> waiting_attempts_;  // by endpoint index; oldest first
+  std::vector<std::deque<AttemptId>> waiting_attempts_;  // for a connection, by endpoint; oldest first
   // Connections that are dialled, settled or writable since the last send_requests().
   std::vector<ConnectionId> sendable_;
   Attempts attempts_;
