--- a/src/admin/commands.cpp
+++ b/src/admin/commands.cpp
@@ -21,7 +21,7 @@
                                     CommandSyntax{"OFFLINE", Command::Kind::offline, true},
                                     CommandSyntax{"ONLINE", Command::Kind::online, true}};
 
-// Kinds of metrics, as DUMP sends them.
+// The kinds of metrics in the reply to DUMP.
 constexpr char counter = 'c';
 constexpr char gauge = 'g';
 
@@ -50,7 +50,7 @@
   }
 }
 
-// -1: not yet.
+// Formats a delay in whole ms; -1 if the event has not happened yet.
 std::string format_delay(const std::optional<double>& delay_ms) {
   return std::to_string(delay_ms ? std::lround(*delay_ms) : -1);
 }
@@ -65,7 +65,7 @@
   append_metric(text, "discovery_first_list_ms", format_delay(discovery.first_list_after_ms), gauge);
 }
 
-// Prints ten significant digits, so that counters of a fleet stay whole numbers up to 10^10.
+// Prints ten significant digits, so that the fleet's counters are printed exactly up to 10^10.
 std::string format_number(double value) {
   std::array<char, 32> text{};
   std::snprintf(text.data(), text.size(), "%.10g", value);
@@ -77,11 +77,11 @@
 std::string_view describe(CommandError error) {
   switch (error) {
     case CommandError::not_text:
-      return "no line of text";
+      return "command is too long or not printable ASCII";
     case CommandError::needs_one_server_id:
-      return "one id of a server is needed";
+      return "command requires exactly one server ID";
     case CommandError::unexpected_argument:
-      return "takes nothing more";
+      return "command takes no arguments";
     case CommandError::unknown_command:
       break;
   }
@@ -102,8 +102,8 @@
                                     [&](const auto& entry) { return entry.name == name; });
   if (syntax == command_syntax.end()) return CommandError::unknown_command;
   if (!syntax->takes_server_id && !server_id.empty()) return CommandError::unexpected_argument;
-  const bool one_id = !server_id.empty() && server_id.find(' ') == std::string_view::npos;
-  if (syntax->takes_server_id && !one_id) return CommandError::needs_one_server_id;
+  const bool has_one_id = !server_id.empty() && server_id.find(' ') == std::string_view::npos;
+  if (syntax->takes_server_id && !has_one_id) return CommandError::needs_one_server_id;
   return Command{.kind = syntax->kind, .server_id = std::string(server_id)};
 }
 
--- a/src/admin/commands.hpp
+++ b/src/admin/commands.hpp
@@ -1,4 +1,4 @@
-// The text of the admin protocol: parses one command line, formats the metrics. Values only, no I/O.
+// The text of the admin protocol: parses command lines and formats metrics. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,17 +10,17 @@
 
 namespace meadowgauge::admin {
 
-// In bytes, without the end of line.
+// Maximum length of a command line in bytes, without the end of line.
 inline constexpr std::size_t max_command_length = 256;
 
-// One command of an operator.
+// One parsed command.
 struct Command {
   enum class Kind : std::uint8_t { health, dump, offline, online };
   Kind kind = Kind::health;
-  std::string server_id;  // of offline and online; empty for the others
+  std::string server_id;  // argument of offline and online; empty for other commands
 };
 
-// Why a line is not a command.
+// The reason why a line was rejected.
 enum class CommandError : std::uint8_t {
   not_text,
   unknown_command,
@@ -28,14 +28,14 @@
   unexpected_argument
 };
 
-// The error in a few words, as the protocol sends it after `fail`.
+// Returns the text that the reply has after `fail`.
 std::string_view describe(CommandError error);
 
-// Parses `line`, given without its `\n`; one `\r` and spaces at its end are ignored. Names of commands
-// are in upper case.
+// Parses `line`, which does not include the `\n`. One trailing `\r` and trailing spaces are ignored. Command
+// names are case-sensitive.
 std::variant<Command, CommandError> parse_command(std::string_view line);
 
-// The metrics as `DUMP` sends them: `balancer.NAME:VALUE|KIND`, one per line (kind c: counter, g: gauge),
+// Formats the reply to `DUMP`: one line `balancer.NAME:VALUE|KIND` per metric (KIND c: counter, g: gauge),
 // then a line `eof`.
 std::string format_metrics(const proxy::Metrics& metrics);
 
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -9,19 +9,20 @@
 
 namespace {
 
-// A script or tool sends its line at once and reads the reply within this time.
+// Clients are scripts and tools, which send the command and read the reply without delay.
 constexpr double command_timeout_ms = 2000;
 constexpr double reply_timeout_ms = 2000;
-// Bytes after the command are read and discarded up to this limit: unread bytes would reset the connection
-// before the client has read the reply.
+// Bytes after the command are read and discarded up to this limit. Closing the socket with unread bytes would
+// reset the connection before the client has read the reply.
 constexpr std::size_t max_discarded_bytes = 65536;
-// Per connection: one to read into, and enough for the largest reply.
+// One buffer to read into, and enough for the largest reply.
 constexpr std::size_t buffers_per_connection = 8;
-// Bytes; a command may end in `\r\n`.
+// In bytes; a command may end in `\r\n`.
 constexpr std::size_t line_end_length = 2;
 
 }  // namespace
 
+// One connection of an operator, which carries one command and its reply.
 struct Server::Connection final : transport::Ready {
   Connection(Server& owner, std::uint64_t connection_id, transport::Fd fd)
       : server(owner), id(connection_id), stream(owner.loop_, owner.pool_, std::move(fd), *this, true) {}
@@ -31,10 +32,10 @@
   std::uint64_t id;
   Stream stream;
   std::string line;
-  bool answered = false;  // the command was received and its reply queued
+  bool has_reply = false;  // the command was received and its reply queued
   std::size_t discarded_bytes = 0;
   double deadline_ms = 0;
-  double reply_at_ms = 0;  // the reply is delayed until then; 0: no delay
+  double reply_at_ms = 0;  // sends the reply at this time; 0: without delay
 };
 
 Server::Server(transport::Loop& loop, const transport::Address& address, CommandHandler& handler)
@@ -57,11 +58,11 @@
   }
 }
 
-// Closes connections without a command first, then those that wait for a reply; each by age.
+// Closes the oldest connection without a command or, if there is none, the oldest connection.
 void Server::close_oldest() {
   const auto oldest =
       std::min_element(connections_.begin(), connections_.end(), [](const auto& a, const auto& b) {
-        return std::pair(a.second->answered, a.first) < std::pair(b.second->answered, b.first);
+        return std::pair(a.second->has_reply, a.first) < std::pair(b.second->has_reply, b.first);
       });
   close(*oldest->second);
 }
@@ -72,10 +73,10 @@
     if (result == Stream::Got::nothing) break;
     if (result == Stream::Got::broken) return close(connection);
     if (result == Stream::Got::end) {
-      if (!connection.answered) return close(connection);  // an incomplete command is not executed
+      if (!connection.has_reply) return close(connection);  // discards an incomplete command
       break;
     }
-    if (!connection.answered) {
+    if (!connection.has_reply) {
       receive_command(connection);
       if (!connection.stream.open()) return;
       continue;
@@ -88,7 +89,7 @@
   flush(connection);
 }
 
-// Appends the bytes read to the line; queues the reply once the line is complete or too long.
+// Appends the received bytes to the line. Queues the reply once the line is complete or too long.
 void Server::receive_command(Connection& connection) {
   const auto bytes = connection.stream.bytes();
   auto& line = connection.line;
@@ -96,14 +97,14 @@
   connection.stream.consume(bytes.size());
 
   const auto end = line.find('\n');
-  const bool complete = end != std::string::npos;
-  if (!complete && line.size() < max_command_length + line_end_length) return;
+  const bool is_complete = end != std::string::npos;
+  if (!is_complete && line.size() < max_command_length + line_end_length) return;
 
-  connection.answered = true;
+  connection.has_reply = true;
   connection.deadline_ms = clock_.now() + reply_timeout_ms;
-  const bool more_than_one_line = complete && end + 1 < line.size();
-  const auto reply = more_than_one_line ? "fail one line to a connection\n"
-                                        : reply_to(connection, std::string_view(line).substr(0, end));
+  const bool has_more_lines = is_complete && end + 1 < line.size();
+  const auto reply = has_more_lines ? "fail one line to a connection\n"
+                                    : reply_to(connection, std::string_view(line).substr(0, end));
   if (!connection.stream.out().append(reply)) close(connection);
 }
 
@@ -126,14 +127,14 @@
 
 std::string Server::drain(Connection& connection, const Command& command) {
   const auto result = handler_.set_offline(command.server_id, command.kind == Command::Kind::offline);
-  // Operators' scripts rely on one reply for both reasons.
+  // Both reasons have the same reply, on which operators' scripts rely.
   if (result.status != DrainResult::Status::accepted) return "fail no server " + command.server_id + "\n";
   if (result.effective_after_ms > 0) connection.reply_at_ms = clock_.now() + result.effective_after_ms;
   return "ok\n";
 }
 
 void Server::flush(Connection& connection) {
-  if (!connection.answered || connection.reply_at_ms > 0) return;
+  if (!connection.has_reply || connection.reply_at_ms > 0) return;
   const bool broken = !connection.stream.flush();
   if (broken || connection.stream.flushed()) close(connection);
 }
@@ -141,7 +142,7 @@
 void Server::tick() {
   closed_.clear();
   const double now_ms = clock_.now();
-  std::vector<Connection*> all;  // a copy, because close() erases from connections_
+  std::vector<Connection*> all;  // a copy of the list, because close() erases from connections_
   all.reserve(connections_.size());
   for (auto& [id, connection] : connections_) all.push_back(connection.get());
   for (auto* connection : all) {
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -1,5 +1,5 @@
-// The admin server: operators connect to an address of their own, send one command line and read its reply.
-// It owns the listener and the connections; its CommandHandler executes the commands.
+// The admin server: operators connect to a separate address, send one command line and read one reply. The
+// server owns the listener and the connections; a CommandHandler executes the commands.
 #pragma once
 
 #include <cstdint>
@@ -17,47 +17,48 @@
 
 namespace meadowgauge::admin {
 
-// The result of taking a server offline or putting it back.
+// The result of CommandHandler::set_offline().
 struct DrainResult {
   enum class Status : std::uint8_t { accepted, unknown_server, too_many_drained };
   Status status = Status::accepted;
-  // All processes of this balancer apply the change within this time; the reply is delayed until then.
+  // Time until all processes of this balancer have applied the change, in ms. The reply is delayed by it.
   double effective_after_ms = 0;
 };
 
-// Executes commands. Called within a turn of the event loop; must not block.
+// Executes commands. Called from the event loop; must not block.
 class CommandHandler {
  public:
   CommandHandler() = default;
   CommandHandler(const CommandHandler&) = delete;
   CommandHandler& operator=(const CommandHandler&) = delete;
 
-  // Whether the balancer accepts requests.
+  // Returns whether the balancer accepts requests.
   [[nodiscard]] virtual bool ready() = 0;
-  // The current metrics.
+  // Returns the current metrics.
   [[nodiscard]] virtual proxy::Metrics metrics() = 0;
-  // Takes the server out of use (`offline`) or puts it back.
+  // Drains the server (`offline`) or ends its manual drain.
   virtual DrainResult set_offline(const std::string& server_id, bool offline) = 0;
 
  protected:
   ~CommandHandler() = default;
 };
 
-// Serves one command per connection, which ends after the reply or at its deadline.
+// Serves one command per connection. A connection is closed after the reply or at its deadline.
 class Server final : transport::Ready {
  public:
-  // A further connection closes the oldest one without a command, else the oldest one.
+  // At the maximum, a new connection replaces the oldest one without a command or, if all have one, the
+  // oldest.
   static constexpr std::size_t max_connections = 16;
 
-  // `loop` and `handler` outlive the server. Throws std::system_error where it cannot listen on `address`.
+  // `loop` and `handler` outlive the server. Throws std::system_error if it cannot listen on `address`.
   Server(transport::Loop& loop, const transport::Address& address, CommandHandler& handler);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  // The bound address, with the port that the system chose for port 0.
+  // The bound address; for port 0, with the port that the system chose.
   [[nodiscard]] transport::Address address() const { return listener_.address(); }
-  // Sends delayed replies that are due and closes connections past their deadline. Called periodically.
+  // To be called periodically: sends delayed replies that are due and closes connections past their deadline.
   void tick();
 
  private:
@@ -74,11 +75,11 @@
   transport::Loop& loop_;
   CommandHandler& handler_;
   transport::Clock clock_;
-  transport::Pool pool_;  // separate, so that clients of the proxy cannot exhaust it
+  transport::Pool pool_;  // separate from the proxy's pool, which the proxy's clients may exhaust
   transport::Listener listener_;
   std::uint64_t next_id_ = 1;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  // Closed connections, freed in the next tick: a caller up the stack may still use the stream.
+  // Closed connections, freed in the next tick, because a caller up the stack may still use the stream.
   std::vector<std::unique_ptr<Connection>> closed_;
 };
 
--- a/src/hot_restart/checked_text.cpp
+++ b/src/hot_restart/checked_text.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// FNV-1a, 64 bits.
+// 64-bit FNV-1a.
 std::uint64_t checksum(std::string_view text) {
   std::uint64_t hash = 14695981039346656037ULL;
   for (char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
@@ -48,18 +48,18 @@
 }
 
 std::variant<std::string, TextError> verify_checksum(std::string_view kind, std::string_view text) {
-  auto first = header(kind);
-  if (!text.starts_with(first))
+  auto expected_header = header(kind);
+  if (!text.starts_with(expected_header))
     return TextError{.kind = TextError::Kind::wrong_header,
                      .value = std::string(text.substr(0, text.find('\n')))};
-  // Finds the newline before the last line; the text's last byte is a newline too.
+  // Finds the newline before the last line; the last byte of the text is also a newline.
   auto body_end = text.size() < 2 ? std::string_view::npos : text.rfind('\n', text.size() - 2);
   if (body_end == std::string_view::npos) return TextError{.kind = TextError::Kind::checksum_mismatch};
   auto checked = text.substr(0, body_end + 1);
-  auto last = text.substr(body_end + 1);
-  if (last != trailer(checked))
-    return TextError{.kind = TextError::Kind::checksum_mismatch, .value = std::string(last)};
-  return std::string(checked.substr(first.size()));
+  auto last_line = text.substr(body_end + 1);
+  if (last_line != trailer(checked))
+    return TextError{.kind = TextError::Kind::checksum_mismatch, .value = std::string(last_line)};
+  return std::string(checked.substr(expected_header.size()));
 }
 
 }  // namespace meadowgauge::hot_restart
--- a/src/hot_restart/manual_drain_file.cpp
+++ b/src/hot_restart/manual_drain_file.cpp
@@ -6,7 +6,7 @@
 namespace meadowgauge::hot_restart {
 
 namespace {
-constexpr std::string_view file_name = "outs";  // stored name, also the kind in the first line
+constexpr std::string_view file_name = "outs";  // name on disk, also the kind in the first line
 }
 
 std::string encode_drains(const std::set<std::string>& names) {
@@ -19,10 +19,10 @@
   auto verified = verify_checksum(file_name, text);
   if (const auto* error = std::get_if<TextError>(&verified)) return *error;
   std::set<std::string> names;
-  std::string_view left = std::get<std::string>(verified);
-  while (!left.empty() && names.size() < ManualDrainFile::max_servers) {
-    auto name = left.substr(0, left.find('\n'));
-    left.remove_prefix(std::min(left.size(), name.size() + 1));
+  std::string_view remaining = std::get<std::string>(verified);
+  while (!remaining.empty() && names.size() < ManualDrainFile::max_servers) {
+    auto name = remaining.substr(0, remaining.find('\n'));
+    remaining.remove_prefix(std::min(remaining.size(), name.size() + 1));
     names.emplace(name);
   }
   return names;
@@ -33,7 +33,7 @@
   reread();
 }
 
-// Keeps the present set where the file is invalid, so that a damaged file undrains no server.
+// If the file is invalid, keeps the current set, so that a damaged file ends no drain.
 void ManualDrainFile::reread() {
   auto text = directory_.read(file_name);
   if (text == last_text_) return;
@@ -61,9 +61,9 @@
 
 bool ManualDrainFile::refresh() {
   if (!directory_.exists()) return false;
-  auto before = names_;
+  auto previous_names = names_;
   reread();
-  return names_ != before;
+  return names_ != previous_names;
 }
 
 bool ManualDrainFile::set_drained(const std::string& server, bool drained) {
--- a/src/hot_restart/manual_drain_file.hpp
+++ b/src/hot_restart/manual_drain_file.hpp
@@ -1,5 +1,5 @@
-// The stored set of manually drained servers, shared by all processes of a balancer and kept over upgrades.
-// The endpoints of one process that are drained: proxy/endpoint/manual_drains.hpp.
+// The stored set of manually drained servers, shared by all processes of a balancer and kept across hot
+// restarts. proxy/endpoint/manual_drains.hpp applies the set to the endpoints of one process.
 #pragma once
 
 #include <set>
@@ -14,18 +14,19 @@
 
 namespace meadowgauge::hot_restart {
 
-// Reads and writes the file. Without a state directory the set lives in memory alone.
+// Reads and writes the file. Without a state directory, the set is kept in memory only.
 class ManualDrainFile {
  public:
   static constexpr std::size_t max_servers = 4096;
 
-  // Reads the stored set. Logs a warning where the file is invalid or can't be written.
+  // Reads the stored set. Here and later, logs a warning if the file is invalid or cannot be written.
   ManualDrainFile(StateDirectory directory, proxy::Logger log);
-  // Names of the drained servers.
+  // The names of the drained servers.
   [[nodiscard]] const std::set<std::string>& names() const { return names_; }
-  // Drains or undrains a server for all processes. False: too many servers are drained; nothing has changed.
+  // Drains or undrains a server in all processes. Returns false, without a change, if max_servers are
+  // drained.
   bool set_drained(const std::string& server, bool drained);
-  // Reads changes by other processes. True: the set has changed.
+  // Reads changes by other processes. Returns whether the set has changed.
   bool refresh();
 
  private:
@@ -36,10 +37,10 @@
   StateDirectory directory_;
   proxy::Logger log_;
   std::set<std::string> names_;
-  std::string last_text_;  // the file as last read or written
+  std::string last_text_;  // content of the file as last read or written
 };
 
-// The set as the file's text, and back.
+// Convert between the set and the content of the file. Decoding reads at most max_servers names.
 std::string encode_drains(const std::set<std::string>& names);
 std::variant<std::set<std::string>, TextError> decode_drains(std::string_view text);
 
--- a/src/hot_restart/state_directory.cpp
+++ b/src/hot_restart/state_directory.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t max_file_bytes = std::size_t{1024} * 1024;
-constexpr std::size_t max_name_chars = 64;  // characters of a balancer's name in file names
+constexpr std::size_t max_name_chars = 64;  // maximum length of the balancer's name in file names
 
 bool fits_file_name(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-';
@@ -40,8 +40,8 @@
 }
 
 std::error_code StateDirectory::write(std::string_view file, std::string_view text) const {
-  auto fresh = path_of(file) + ".new";
-  transport::Fd fd(open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_NOFOLLOW | O_CLOEXEC, 0600));
+  auto temporary_path = path_of(file) + ".new";
+  transport::Fd fd(open(temporary_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_NOFOLLOW | O_CLOEXEC, 0600));
   if (!fd) return last_error();
   while (!text.empty()) {
     auto written = ::write(fd.get(), text.data(), text.size());
@@ -51,7 +51,7 @@
     text.remove_prefix(static_cast<std::size_t>(written));
   }
   fd.close();
-  if (std::rename(fresh.c_str(), path_of(file).c_str()) != 0) return last_error();
+  if (std::rename(temporary_path.c_str(), path_of(file).c_str()) != 0) return last_error();
   return {};
 }
 
--- a/src/hot_restart/state_directory.hpp
+++ b/src/hot_restart/state_directory.hpp
@@ -1,5 +1,5 @@
-// The files that the processes of one balancer share. Each is written as a whole, under a lock. Without a
-// folder there are no files, and no state outlives the process.
+// The files that the processes of one balancer share. Without a folder there are no files, and no state
+// outlives the process.
 #pragma once
 
 #include <string>
@@ -10,23 +10,24 @@
 
 namespace meadowgauge::hot_restart {
 
-// Holds a lock on a file until it is closed or the process ends.
+// Holds a lock on a file until the descriptor is closed or the process ends.
 using FileLock = transport::Fd;
 
+// Reads and writes the shared files. Each file is written as a whole; lock() serializes the writers.
 class StateDirectory {
  public:
   StateDirectory() = default;
-  // `name` is the balancer's name, part of all file names. `folder` may be empty.
+  // `name` is the balancer's name, which is part of all file names. `folder` may be empty.
   StateDirectory(const std::string& folder, std::string_view name);
 
   // Whether the processes share a folder.
   [[nodiscard]] bool exists() const { return !base_.empty(); }
   [[nodiscard]] std::string path_of(std::string_view file) const { return base_ + std::string(file); }
-  // Waits until no other process holds the lock. Empty without a writable folder.
+  // Blocks until this process holds the lock. Returns an empty lock if the folder is missing or not writable.
   [[nodiscard]] FileLock lock() const;
-  // Replaces a file atomically: no process reads half of it. After an error the old file remains.
+  // Replaces a file atomically, so that no process reads a partial file. On an error, the old file remains.
   [[nodiscard]] std::error_code write(std::string_view file, std::string_view text) const;
-  // The file's text, up to a megabyte; empty where the file is missing or unreadable.
+  // Returns the content of a file, up to about 1 MiB; empty if the file is missing or unreadable.
   [[nodiscard]] std::string read(std::string_view file) const;
 
   [[nodiscard]] const std::string& folder() const { return folder_; }
--- a/src/hot_restart/takeover.cpp
+++ b/src/hot_restart/takeover.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-// Processes scan each other every 100 ms, so within this time every process has seen a change.
-constexpr double peers_see_after_ms = 250;
-// With discovery unreachable for this long the configured endpoints are served.
+// Each process scans its peers every 100 ms, so within this time all processes have seen a change.
+constexpr double peer_visibility_delay_ms = 250;
+// If discovery does not answer for this long, the configured endpoints are used.
 constexpr double max_wait_for_endpoints_ms = 1500;
 constexpr double snapshot_interval_ms = 1000;
 
-// By TakeoverInvariant.
+// Indexed by TakeoverInvariant.
 constexpr std::array<std::string_view, static_cast<std::size_t>(TakeoverInvariant::count)> invariant_texts{
     "number of processes is negative",
     "a newer process serves, but none is counted",
@@ -28,11 +28,11 @@
 Takeover::Takeover(const PeerProcesses& peers, double now_ms)
     : peers_(peers), started_at_ms_(now_ms), saved_at_ms_(now_ms), replaces_another_(peers.total() > 0) {}
 
-// A process without peers has nothing to wait for: the one it replaces has ended.
+// Without peers there is nothing to wait for: a process that this one replaces has ended.
 bool Takeover::is_due(bool endpoints_known, bool may_serve, double now_ms) const {
   if (peers_.total() == 0) return true;
   double waited_ms = now_ms - started_at_ms_;
-  if (waited_ms < peers_see_after_ms) return false;
+  if (waited_ms < peer_visibility_delay_ms) return false;
   return endpoints_known || (may_serve && waited_ms >= max_wait_for_endpoints_ms);
 }
 
@@ -42,7 +42,7 @@
   bool count_changed = peers.total() != peers_.total();
   bool older_changed = peers.older != peers_.older;
   peers_ = peers;
-  // The initial share is 1, so the first update sets it only beside other processes.
+  // The initial share is 1, so the first update sets it only if there are other processes.
   actions.set_share = updated_ ? count_changed : peers.total() > 0;
   actions.share = 1.0 / (1 + peers.total());
   updated_ = true;
@@ -68,7 +68,7 @@
   if (state_ == State::serving) state_ = State::ending;
 }
 
-double Takeover::drain_delay_ms() const { return peers_.total() > 0 ? peers_see_after_ms : 0; }
+double Takeover::drain_delay_ms() const { return peers_.total() > 0 ? peer_visibility_delay_ms : 0; }
 
 std::optional<BrokenTakeoverInvariant> Takeover::broken_invariant() const {
   if (peers_.older < 0 || peers_.newer < 0)
@@ -79,8 +79,8 @@
   if (saved_at_ms_ < started_at_ms_)
     return BrokenTakeoverInvariant{
         .invariant = TakeoverInvariant::snapshot_after_start, .value = saved_at_ms_, .bound = started_at_ms_};
-  bool had_update = state_ == State::serving || state_ == State::ending || state_ == State::handed_over;
-  if (had_update && !updated_)
+  bool has_served = state_ == State::serving || state_ == State::ending || state_ == State::handed_over;
+  if (has_served && !updated_)
     return BrokenTakeoverInvariant{.invariant = TakeoverInvariant::update_before_serving, .bound = 1};
   return {};
 }
--- a/src/hot_restart/takeover.hpp
+++ b/src/hot_restart/takeover.hpp
@@ -1,5 +1,5 @@
-// Takeover between the processes of one balancer at an upgrade. Values without I/O; times are ms by the
-// caller's clock.
+// Takeover between the processes of one balancer at a hot restart. No I/O; times are in ms of the caller's
+// clock.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace meadowgauge::hot_restart {
 
-// The other processes of the same balancer, by whether they started before or after this one.
+// Counts of the other processes of the same balancer that started before (older) and after (newer) this one.
 struct PeerProcesses {
   int older = 0;
   int newer = 0;
@@ -17,16 +17,17 @@
   bool operator==(const PeerProcesses&) const = default;
 };
 
-// Actions that a process must take now.
+// The actions that a process must take now.
 struct TakeoverActions {
   bool listen = false;             // listen, and mark this process as serving
-  bool claim_connections = false;  // route new connections here, past older processes that still listen
+  bool claim_connections = false;  // route new connections here instead of to older processes
   bool handover = false;           // stop accepting: a newer process takes new connections
   bool set_share = false;          // apply `share`
-  double share = 1;                // this process's share of each limit, 0 to 1
+  double share = 1;                // this process's share of each limit, from 0 to 1
   bool save_snapshot = false;      // store the learned state
 };
 
+// The invariants that Takeover::broken_invariant() checks.
 enum class TakeoverInvariant : std::uint8_t {
   process_counts_not_negative,
   serving_peer_is_counted,
@@ -35,51 +36,51 @@
   count
 };
 
-// An invariant of Takeover that does not hold, with the value that breaks it and the bound.
+// A violated invariant of Takeover, with the offending value and its bound.
 struct BrokenTakeoverInvariant {
   TakeoverInvariant invariant{};
   double value = 0;
   double bound = 0;
 };
 
-// One line of text; empty where no invariant is broken.
+// Describes the violation in one line; empty if there is none.
 std::string describe(const std::optional<BrokenTakeoverInvariant>& broken);
 
-// The states of one process from its start to its end.
+// State machine of one process from its start to its end.
 //
-// A new process waits until all older ones have seen it and discovery has answered, then serves beside them.
-// An older process that must end keeps listening until a newer one serves, so that no connection is refused.
-// While several processes run, each holds an equal share of the limits. Outcomes of each order of events:
-// docs/design/day-to-day.md.
+// A new process waits until all older ones have seen it and discovery has answered; then it serves beside
+// them. An older process that was told to end keeps listening until a newer one serves, so that no connection
+// is refused. While several processes run, each has an equal share of the limits. docs/design/day-to-day.md
+// lists the outcome of each order of events.
 class Takeover {
  public:
-  // Age at which a snapshot expires for a successor.
+  // Age beyond which a successor ignores a snapshot.
   static constexpr double max_snapshot_age_ms = 5000;
 
   // The process starts at `now_ms` beside `peers`.
   Takeover(const PeerProcesses& peers, double now_ms);
   // To be called periodically. `endpoints_known`: discovery has answered since the start. `may_serve`: the
-  // configured endpoints may be used until it has.
+  // configured endpoints may be used until discovery answers.
   TakeoverActions update(const PeerProcesses& peers, bool endpoints_known, double now_ms,
                          bool may_serve = true);
-  // This process must end: it cancels its start, or serves until a newer process does.
+  // Tells this process to end: cancels its start, or lets it serve until a newer process serves.
   void end();
 
-  // Whether another process ran at this one's start.
+  // Whether another process of this balancer was running when this one started.
   [[nodiscard]] bool replaces_another() const { return replaces_another_; }
-  // Time until all processes have seen a manual drain.
+  // Time in ms until all processes have seen a manual drain.
   [[nodiscard]] double drain_delay_ms() const;
 
-  // The first invariant that does not hold. For tests, after every step.
+  // Returns the first violated invariant. Tests call it after every step.
   [[nodiscard]] std::optional<BrokenTakeoverInvariant> broken_invariant() const;
 
  private:
   enum class State : std::uint8_t {
-    waiting,      // until older processes have seen this one and the endpoint list is known
+    waiting,      // until older processes have seen this one and discovery has answered
     serving,      // listens
     ending,       // listens until a newer process serves
-    handed_over,  // a newer process serves; completes its requests in flight
-    cancelled     // ends without having served
+    handed_over,  // a newer process serves; this one completes its requests in flight
+    cancelled     // told to end before it served
   };
   [[nodiscard]] bool is_due(bool endpoints_known, bool may_serve, double now_ms) const;
 
@@ -88,7 +89,7 @@
   double started_at_ms_;
   double saved_at_ms_;  // time of the last snapshot
   bool replaces_another_;
-  bool updated_ = false;  // update() was called before
+  bool updated_ = false;  // update() has been called
 };
 
 }  // namespace meadowgauge::hot_restart
--- a/src/program/admin_service.cpp
+++ b/src/program/admin_service.cpp
@@ -22,7 +22,7 @@
     auto snapshot = hot_restart::decode_snapshot(shared_.directory.read(hot_restart::snapshot_file),
                                                  clock_.now(), Takeover::max_snapshot_age_ms);
     if (const auto* learned = std::get_if<LearnedState>(&snapshot)) balancer_.restore_learned_state(*learned);
-    log_(Level::info, "takeover from an older process of this balancer begins");
+    log_(Level::info, "takeover: started beside an older process of this balancer");
   }
   advance_takeover();
 }
@@ -35,7 +35,7 @@
 
 admin::DrainResult AdminService::set_offline(const std::string& server_id, bool offline) {
   using Status = admin::DrainResult::Status;
-  // A drained server may be put back even when the endpoint list no longer has it.
+  // A drained server can be put back in use even if it is no longer in the endpoint list.
   if (!balancer_.is_listed(server_id) && !drains_.names().contains(server_id))
     return {Status::unknown_server};
   if (!drains_.set_drained(server_id, offline)) return {Status::too_many_drained};
--- a/src/program/admin_service.hpp
+++ b/src/program/admin_service.hpp
@@ -1,6 +1,5 @@
-// Day-to-day operation of the balancer: carries out the admin server's commands, keeps the servers that
-// operators have drained, and runs an upgrade, during which two processes of one balancer listen side by
-// side.
+// Operation of a running balancer: executes the commands of the admin server, stores manual drains, and runs
+// the takeover at a hot restart, during which two processes of one balancer listen on the same address.
 #pragma once
 
 #include "admin/server.hpp"
@@ -12,25 +11,29 @@
 
 namespace meadowgauge::program {
 
-// State shared by the processes of one balancer: a state directory, and locks that tell them apart. Created
-// before the balancer, which needs to know whether it shares its address.
+// State shared by the processes of one balancer: the state directory and the locks that identify the running
+// processes. Created before the balancer, which needs to know whether other processes may share its address.
 struct SharedState {
-  // `folder` holds the state that outlives an upgrade; empty: none does. `name` is unique in that folder.
+  // `folder` keeps the state across hot restarts; if it is empty, no state is kept. `name` is unique in the
+  // folder.
   SharedState(const std::string& folder, const std::string& name)
       : directory(folder, name), locks(directory) {}
   hot_restart::StateDirectory directory;
   hot_restart::InstanceLocks locks;
 };
 
+// Owns the admin server, the manual drains and the takeover state of this process.
 class AdminService final : admin::CommandHandler {
  public:
-  // All references outlive the service; `fleet` may be null. Takes over from a process that is listening
-  // already. Throws std::system_error where it cannot listen on `address` or on the clients' address.
+  // All references outlive the service; `fleet` may be null. If another process of this balancer is already
+  // running, starts a takeover. Throws std::system_error if it cannot listen on `address` or on the
+  // balancer's address for clients.
   AdminService(transport::Loop& loop, proxy::Balancer& balancer, SharedState& shared,
                const transport::Address& address, proxy::Logger log, const FleetCoordinator* fleet);
-  // The admin server's address as bound.
+  // The bound address of the admin server.
   [[nodiscard]] transport::Address address() const { return server_.address(); }
-  // Called periodically: timeouts of the admin server, drains set by other processes, steps of an upgrade.
+  // To be called periodically: applies timeouts of the admin server, manual drains set by other processes and
+  // the next step of a takeover.
   void tick();
   // Begins the graceful shutdown, on SIGTERM.
   void begin_shutdown();
@@ -44,7 +47,7 @@
   proxy::Balancer& balancer_;
   SharedState& shared_;
   proxy::Logger log_;
-  const FleetCoordinator* fleet_;  // null without [fleet] in the file
+  const FleetCoordinator* fleet_;  // null if the configuration has no [fleet]
   transport::Clock clock_;
   hot_restart::ManualDrainFile drains_;
   hot_restart::Takeover takeover_;
--- a/src/program/check.cpp
+++ b/src/program/check.cpp
@@ -1,4 +1,4 @@
-// The subcommand `check`. Its output is an interface: operators' scripts read it.
+// The subcommand `check`. Operators' scripts parse its output, so the format is stable.
 #include <algorithm>
 #include <iostream>
 #include <utility>
@@ -15,14 +15,14 @@
 
 int check_platform_config(const Options& options) {
   const Log log(std::cerr, options.log_level, options.log_format,
-                environment_variable("GW_NAME").value_or(nameless));
+                environment_variable("GW_NAME").value_or(unknown_name));
   const auto setup = read_configuration(options, log.logger());
   std::cout << setup.name << ": " << setup.settings.size() << " settings, " << setup.known.hosts.size()
             << " upstreams known\n";
   return 0;
 }
 
-// Prints all problems in the order of the file.
+// Prints all problems to standard error, by line and column.
 void print_problems(const std::string& file, std::vector<settings::Problem> problems) {
   std::stable_sort(problems.begin(), problems.end(), [](const auto& a, const auto& b) {
     return std::pair(a.line, a.column) < std::pair(b.line, b.column);
--- a/src/program/config_error.hpp
+++ b/src/program/config_error.hpp
@@ -1,5 +1,5 @@
-// Errors of a configuration that is not TOML: an environment variable, the platform's JSON file, an option of
-// the command line. Errors of the operator's TOML file are settings::Problem, with line and column.
+// Errors in environment variables, the platform's JSON file and command-line options. Errors in the
+// operator's TOML file are reported as settings::Problem, with line and column.
 #pragma once
 
 #include <stdexcept>
@@ -8,23 +8,24 @@
 
 namespace meadowgauge::program {
 
-// One fault and its place. There is no line or column, because the JSON reader keeps none.
+// One configuration error and its location. The JSON reader keeps no positions, so there is no line or
+// column.
 struct ConfigFault {
-  std::string key{};     // variable, option, or dotted path in the file; empty: the source as a whole
-  std::string reason{};  // follows the key: `is not set`
-  std::string value{};   // the rejected value verbatim; empty without one
+  std::string key{};     // variable, option, or dotted path in the file; empty: the whole source
+  std::string reason{};  // phrase that follows the key, such as `is not set`
+  std::string value{};   // the rejected value verbatim, if any
   std::string file{};    // empty for a variable or an option
 };
 
-// `file: key reason`, without the empty parts. The value appears only as part of `reason`.
+// Formats the fault as `file: key reason` without the empty parts. `value` is not added.
 std::string format_fault(const ConfigFault& fault);
 
-// An invalid configuration; what() is the fault on one line.
+// Thrown for an invalid configuration; what() is format_fault() of the fault.
 class ConfigError : public std::runtime_error {
  public:
   explicit ConfigError(ConfigFault fault)
       : std::runtime_error(format_fault(fault)), fault_(std::move(fault)) {}
-  // Valid as long as the error.
+  // The reference is valid as long as the error.
   [[nodiscard]] const ConfigFault& fault() const { return fault_; }
 
  private:
--- a/src/program/fleet_coordinator.cpp
+++ b/src/program/fleet_coordinator.cpp
@@ -20,9 +20,9 @@
 namespace {
 
 constexpr double tick_ms = 25;
-constexpr double urgent_gossip_interval_ms = 50;  // beside the usual rounds, where a server has begun to fail
-constexpr double bind_interval_ms = 100;          // a predecessor may release the address at any time
-constexpr double drop_log_interval_ms = 60000;    // a line for each reason
+constexpr double urgent_gossip_interval_ms = 50;  // minimum time before a round for a newly failing server
+constexpr double bind_interval_ms = 100;          // retries until the predecessor releases the address
+constexpr double drop_log_interval_ms = 60000;    // one line for each drop reason
 
 transport::Fd start_timer(double interval_ms) {
   transport::Fd fd(timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC));
@@ -43,7 +43,7 @@
       started_at_ms_(clock_.now()),
       incarnation_(static_cast<std::uint64_t>(started_at_ms_)),
       members_(config_.name, incarnation_, config_.timing, seed),
-      limits_(fresh_limits()),
+      limits_(new_limits()),
       verdicts_(config_.name, members_, log_),
       datagrams_(loop, clock_, members_,
                  {.name = config_.name, .started_at_ms = started_at_ms_, .incarnation = incarnation_},
@@ -56,7 +56,7 @@
   datagrams_.set_config_digest(config_.digest());
   leases_.set_datagrams_per_s(config_.lease_datagrams_per_s);
   set_members();
-  due_.next_drop_log = started_at_ms_ + drop_log_interval_ms;
+  schedule_.next_drop_log = started_at_ms_ + drop_log_interval_ms;
   tick(started_at_ms_);
 }
 
@@ -77,14 +77,14 @@
   log_.reset_statuses(members_.slots());
 }
 
-// The index of a member that is no longer listed may go to another, which must not inherit its leases.
+// The index of a removed member may be reused for a new member, which must not inherit its leases.
 void FleetCoordinator::forget_unlisted(const std::vector<std::string>& listed_names) {
   for (auto peer : members_.members())
     if (std::find(listed_names.begin(), listed_names.end(), members_.name(peer)) == listed_names.end())
       limits_.forget(peer);
 }
 
-fleet::SharedLimits FleetCoordinator::fresh_limits() const {
+fleet::SharedLimits FleetCoordinator::new_limits() const {
   return {config_.terms, static_cast<int>(config_.tenants.size()),
           static_cast<int>(config_.request_classes.size()), clock_.now()};
 }
@@ -106,9 +106,9 @@
   leases_.set_datagrams_per_s(config_.lease_datagrams_per_s);
   set_members();
   const auto digest = config_.digest();
-  // While disabled, this instance did not track what it lent: it begins as after a start.
+  // Leases were not tracked while the fleet was disabled, so the limits start over as at process start.
   if (std::exchange(state_, State::enabled) == State::disabled)
-    limits_ = fresh_limits();
+    limits_ = new_limits();
   else if (digest != datagrams_.config_digest())
     limits_.reload(config_.terms, now_ms);
   datagrams_.set_config_digest(digest);
@@ -133,11 +133,11 @@
   if (config_.verdicts) verdicts_.record_success(server, clock_.now());
 }
 
-// No lease is handed over: the successor begins as after a crash.
+// Leases are not handed over: the successor starts without leases, as after a crash.
 void FleetCoordinator::leave() {
   if (std::exchange(address_handed_over_, true)) return;
   datagrams_.socket().close();
-  limits_ = fresh_limits();
+  limits_ = new_limits();
 }
 
 // --- Datagrams ------------------------------------------------------------------------------------------
@@ -170,12 +170,12 @@
 
 void FleetCoordinator::tick(double now_ms) {
   if (address_handed_over_) return;
-  if (!datagrams_.socket().is_open() && now_ms >= due_.next_bind) {
-    due_.next_bind = now_ms + bind_interval_ms;
+  if (!datagrams_.socket().is_open() && now_ms >= schedule_.next_bind) {
+    schedule_.next_bind = now_ms + bind_interval_ms;
     bind_address();
   }
   if (datagrams_.socket().is_open()) tick_online(now_ms);
-  if (now_ms >= due_.next_drop_log) log_drops(now_ms);
+  if (now_ms >= schedule_.next_drop_log) log_drops(now_ms);
 }
 
 void FleetCoordinator::tick_online(double now_ms) {
@@ -186,7 +186,8 @@
   leases_.tick(now_ms);
 }
 
-// Reads the clock again: a process paused before it bound may have waited for a predecessor that lent on.
+// Reads the clock again after binding: this process may have been paused before the bind, while its
+// predecessor still granted leases.
 void FleetCoordinator::bind_address() {
   if (auto error = datagrams_.socket().open(config_.listen))
     return log_.bind_failed(config_.listen, error.message());
@@ -195,14 +196,14 @@
 }
 
 bool FleetCoordinator::gossip_is_due(double now_ms) const {
-  const bool urgent = gossip_is_urgent_ && now_ms >= due_.last_gossip + urgent_gossip_interval_ms;
-  return now_ms >= due_.next_gossip || urgent;
+  const bool urgent = gossip_is_urgent_ && now_ms >= schedule_.last_gossip + urgent_gossip_interval_ms;
+  return now_ms >= schedule_.next_gossip || urgent;
 }
 
 void FleetCoordinator::send_gossip(double now_ms) {
-  if (now_ms >= due_.next_gossip)
-    due_.next_gossip = std::max(due_.next_gossip + config_.timing.interval_ms, now_ms);
-  due_.last_gossip = now_ms;
+  if (now_ms >= schedule_.next_gossip)
+    schedule_.next_gossip = std::max(schedule_.next_gossip + config_.timing.interval_ms, now_ms);
+  schedule_.last_gossip = now_ms;
   gossip_is_urgent_ = false;
   auto own = members_.next_own_state(limits_.lendable(now_ms), datagrams_.config_digest());
   if (config_.verdicts) verdicts_.report(own, now_ms);
@@ -225,7 +226,7 @@
 }
 
 void FleetCoordinator::log_drops(double now_ms) {
-  due_.next_drop_log = now_ms + drop_log_interval_ms;
+  schedule_.next_drop_log = now_ms + drop_log_interval_ms;
   log_.drops(datagrams_.socket().counters());
   if (!datagrams_.socket().is_open()) log_.still_unbound(config_.listen);
 }
--- a/src/program/fleet_coordinator.hpp
+++ b/src/program/fleet_coordinator.hpp
@@ -1,5 +1,5 @@
-// One instance of a fleet: wires its datagrams, the member table, the shared limits and the verdicts on
-// servers. There only where the operator's file has [fleet].
+// One instance of a fleet: connects the datagram exchange, the member table, the shared limits and the
+// verdicts on servers. Exists only if the operator's file has [fleet].
 #pragma once
 
 #include <cstdint>
@@ -21,12 +21,12 @@
 
 namespace meadowgauge::program {
 
-// Owns the timer and all state of the fleet in this process; acts on its timer and on datagrams. What is
-// decided stands in src/fleet; LeaseExchange, FleetVerdicts and FleetDatagrams carry it out.
+// Owns the timer and all fleet state of this process; acts on the timer and on received datagrams. The
+// decisions are made in src/fleet; LeaseExchange, FleetVerdicts and FleetDatagrams carry them out.
 class FleetCoordinator final : public proxy::RequestFilter, transport::Ready {
  public:
-  // `loop` outlives this. Throws std::system_error where the system refuses a timer. While another process
-  // has the address, binding is retried.
+  // `loop` outlives the coordinator. Throws std::system_error if no timer can be created. Retries binding
+  // while another process holds the address.
   FleetCoordinator(transport::Loop& loop, fleet::FleetConfig config, std::uint64_t seed, proxy::Logger log);
   ~FleetCoordinator();
   FleetCoordinator(const FleetCoordinator&) = delete;
@@ -36,21 +36,21 @@
   void release(int tenant, int request_class) override;
   void record_success(std::uint32_t server) override;
   void leave() override;
-  // The balancer whose servers the verdicts are on. It outlives this.
+  // Sets the balancer that the verdicts on servers apply to. The balancer outlives the coordinator.
   void set_balancer(proxy::Balancer& balancer) { verdicts_.set_balancer(balancer); }
 
-  // The configuration read again: members and limits as a whole. Without a value the file has no [fleet] any
-  // more, and nothing is limited from now on.
+  // Applies a reloaded configuration: replaces all members and limits. Without a value, the file no longer
+  // has [fleet] and the limits are no longer enforced.
   void reload(const std::optional<fleet::FleetConfig>& config);
-  // Names and values for the admin endpoint; the names are those of docs/operate/fleet.md.
+  // Names and values for the admin server's DUMP command; docs/operate/fleet.md lists the names.
   [[nodiscard]] std::vector<std::pair<std::string, double>> metrics() const;
 
  private:
   enum class State : std::uint8_t {
     enabled,
-    disabled,  // the file has no [fleet] now
+    disabled,  // the configuration no longer has [fleet]
   };
-  // When something is due next, or was last done, in ms by the clock.
+  // Times, in ms of `clock_`, when periodic work is next due or was last done.
   struct Schedule {
     double next_bind = 0;
     double next_gossip = 0;
@@ -67,7 +67,7 @@
   void tick(double now_ms);
   void tick_online(double now_ms);
   void bind_address();
-  [[nodiscard]] fleet::SharedLimits fresh_limits() const;
+  [[nodiscard]] fleet::SharedLimits new_limits() const;
   [[nodiscard]] bool gossip_is_due(double now_ms) const;
   void send_gossip(double now_ms);
   void update_members(double now_ms);
@@ -85,12 +85,12 @@
   FleetDatagrams datagrams_;
   LeaseExchange leases_;
   transport::Fd timer_;
-  std::uint64_t token_;  // of the timer in the loop
+  std::uint64_t token_;  // registration of the timer in the loop
   State state_ = State::enabled;
-  bool address_handed_over_ = false;  // to a successor; final
-  bool gossip_is_urgent_ = false;     // a server has begun to fail
+  bool address_handed_over_ = false;  // to a successor; never reset
+  bool gossip_is_urgent_ = false;     // a server is newly failing
   std::uint64_t rejected_requests_ = 0;
-  Schedule due_;
+  Schedule schedule_;
 };
 
 }  // namespace meadowgauge::program
--- a/src/program/fleet_datagrams.cpp
+++ b/src/program/fleet_datagrams.cpp
@@ -19,8 +19,8 @@
         receive(peer, datagram, now_ms);
       }) {}
 
-// `now_ms` is read after the datagram was received: a lender that was paused in between must not count a
-// lease from before the request.
+// `now_ms` is read after the datagram is received. With an earlier time, a lender paused in between would
+// start a lease before its request.
 void FleetDatagrams::receive(PeerIndex peer, const Datagram& datagram, double now_ms) {
   switch (members_.accept_datagram(peer, datagram.incarnation, datagram.sequence, now_ms)) {
     case Freshness::fresh:
--- a/src/program/fleet_log.hpp
+++ b/src/program/fleet_log.hpp
@@ -1,5 +1,4 @@
-// The log lines of a fleet's instance. A state is logged when it changes, so the last logged one is kept
-// here.
+// The log lines of one instance of a fleet.
 #pragma once
 
 #include <array>
@@ -16,6 +15,7 @@
 
 namespace meadowgauge::program {
 
+// Writes the log lines. Keeps the last logged states, because a state is logged only when it changes.
 class FleetLog {
  public:
   explicit FleetLog(proxy::Logger log) : log_(std::move(log)) {}
@@ -25,18 +25,19 @@
   void limit_needs_restart(const std::string& limit_name) const;
   void reloaded(std::size_t member_count, std::size_t limit_count) const;
   void bound(const std::string& instance, const transport::Address& address) const;
-  // Logs each reason once until another one occurs.
+  // Logs an error only if `reason` differs from that of the previous failure.
   void bind_failed(const transport::Address& address, const std::string& reason);
   void ejected_servers(std::size_t count) const;
 
-  // Forgets the statuses. `slot_count`: slots of peers.
+  // Forgets all statuses. `slot_count` is the number of peer slots.
   void reset_statuses(std::size_t slot_count);
-  // Logs a change, and the first status unless it is gone.
+  // Logs a changed status. The first status of a member is logged unless it is `gone`.
   void update_status(membership::PeerIndex peer, const std::string& name, membership::MemberStatus status);
-  // Whether the limits are in force, without a line in the log.
+  // Sets whether the limits are in force, without logging.
   void set_limits_in_force(bool in_force) { limits_in_force_ = in_force; }
+  // Logs when the limits come into force; the opposite change is not logged.
   void update_limits_in_force(bool in_force);
-  // A line for each reason for which datagrams were dropped since the last call.
+  // Logs one line for each reason for which datagrams were dropped since the last call.
   void drops(const membership::DatagramCounters& counters);
   void still_unbound(const transport::Address& address) const;
 
@@ -46,7 +47,7 @@
   proxy::Logger log_;
   bool limits_in_force_ = true;
   std::string bind_error_;
-  std::vector<std::optional<membership::MemberStatus>> statuses_;  // by peer; no value: not updated yet
+  std::vector<std::optional<membership::MemberStatus>> statuses_;  // by peer slot; no value: not updated yet
   DropCounts drops_{};
 };
 
--- a/src/program/fleet_metrics.cpp
+++ b/src/program/fleet_metrics.cpp
@@ -11,7 +11,7 @@
 
 using Metrics = std::vector<std::pair<std::string, double>>;
 
-double total(std::uint64_t count) { return static_cast<double>(count); }
+double to_double(std::uint64_t count) { return static_cast<double>(count); }
 
 void append_members(Metrics& metrics, const membership::MemberTable& members, double now_ms) {
   constexpr std::size_t status_count = 3;
@@ -24,26 +24,26 @@
 }
 
 void append_datagrams(Metrics& metrics, const membership::DatagramCounters& datagrams) {
-  metrics.emplace_back("fleet.sent", total(datagrams.sent));
-  metrics.emplace_back("fleet.sent_bytes", total(datagrams.sent_bytes));
-  metrics.emplace_back("fleet.came", total(datagrams.received));
-  metrics.emplace_back("fleet.came_bytes", total(datagrams.received_bytes));
-  metrics.emplace_back("fleet.unsent", total(datagrams.unsent));
+  metrics.emplace_back("fleet.sent", to_double(datagrams.sent));
+  metrics.emplace_back("fleet.sent_bytes", to_double(datagrams.sent_bytes));
+  metrics.emplace_back("fleet.came", to_double(datagrams.received));
+  metrics.emplace_back("fleet.came_bytes", to_double(datagrams.received_bytes));
+  metrics.emplace_back("fleet.unsent", to_double(datagrams.unsent));
 }
 
 void append_leases(Metrics& metrics, const LeaseExchange& leases) {
   const auto& counters = leases.counters();
-  metrics.emplace_back("fleet.asks", total(counters.requests_sent));
-  metrics.emplace_back("fleet.grants", total(counters.grants_received));
-  metrics.emplace_back("fleet.answers", total(counters.grants_sent));
-  metrics.emplace_back("fleet.held_back", total(leases.over_budget()));
+  metrics.emplace_back("fleet.asks", to_double(counters.requests_sent));
+  metrics.emplace_back("fleet.grants", to_double(counters.grants_received));
+  metrics.emplace_back("fleet.answers", to_double(counters.grants_sent));
+  metrics.emplace_back("fleet.held_back", to_double(leases.over_budget()));
 }
 
 void append_drops(Metrics& metrics, const membership::DatagramCounters& datagrams) {
   for (std::size_t reason = 0; reason < datagrams.dropped.size(); ++reason) {
     std::string name("fleet.dropped.");
     for (char c : membership::name_of(static_cast<DropReason>(reason))) name += c == ' ' ? '_' : c;
-    metrics.emplace_back(name, total(datagrams.dropped[reason]));
+    metrics.emplace_back(name, to_double(datagrams.dropped[reason]));
   }
 }
 
@@ -66,10 +66,10 @@
   append_members(metrics, source.members, now_ms);
   metrics.emplace_back("fleet.address", source.socket.is_open());
   metrics.emplace_back("fleet.agreed", source.limits.in_force());
-  metrics.emplace_back("fleet.servers_held", total(source.ejected_servers));
+  metrics.emplace_back("fleet.servers_held", to_double(source.ejected_servers));
   append_datagrams(metrics, datagrams);
   append_leases(metrics, source.leases);
-  metrics.emplace_back("fleet.turned_away", total(source.rejected_requests));
+  metrics.emplace_back("fleet.turned_away", to_double(source.rejected_requests));
   append_drops(metrics, datagrams);
   append_limits(metrics, source.limits, now_ms);
   return metrics;
--- a/src/program/fleet_metrics.hpp
+++ b/src/program/fleet_metrics.hpp
@@ -1,4 +1,4 @@
-// The fleet's part of the metrics. The names are an interface: docs/operate/fleet.md has them.
+// The fleet's part of the metrics. The names are a stable interface, listed in docs/operate/fleet.md.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace meadowgauge::program {
 
-// What the metrics are read from; valid during the call.
+// The objects and counts that the metrics are read from; the references are used only during the call.
 struct FleetMetricsSource {
   const membership::MemberTable& members;
   const membership::DatagramSocket& socket;
@@ -23,7 +23,7 @@
   std::uint64_t rejected_requests;
 };
 
-// Names and values as of `now_ms`.
+// Returns the names and values of the metrics at `now_ms`.
 std::vector<std::pair<std::string, double>> fleet_metrics(const FleetMetricsSource& source, double now_ms);
 
 }  // namespace meadowgauge::program
--- a/src/program/fleet_verdicts.cpp
+++ b/src/program/fleet_verdicts.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double verdict_interval_ms = 50;  // from a verdict to its effect on picks, at most
+constexpr double verdict_interval_ms = 50;  // upper bound for the delay until a verdict affects picks
 
 }  // namespace
 
@@ -43,15 +43,15 @@
   request_trials(verdicts_.on_trial(listed, alive, now_ms));
 }
 
-// Reports the end of a turn once, by a list without the server.
+// Reports an empty list only once, which ends the previous trials.
 void FleetVerdicts::request_trials(std::vector<fleet::ServerId> servers) {
   if (servers.empty() && on_trial_.empty()) return;
   balancer_->request_trials(servers);
   on_trial_ = std::move(servers);
 }
 
-// The policy lets gossip expire, so an ejected server is reported on every tick. A server that is no longer
-// ejected is reported healthy once: the newer report replaces the last.
+// Gossip expires in the policy, so an ejected server is reported on every tick. A server that is no longer
+// ejected is reported once as healthy, which replaces its last report.
 void FleetVerdicts::publish(std::vector<fleet::ServerId> ejected) {
   GossipContent gossip;
   for (auto server : ejected)
--- a/src/program/fleet_verdicts.hpp
+++ b/src/program/fleet_verdicts.hpp
@@ -1,4 +1,5 @@
-// Applies the fleet's verdicts on servers to the balancer, and reports what the balancer finds.
+// Applies the fleet's verdicts on servers to the balancer and shares the balancer's observations with the
+// fleet.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +14,21 @@
 
 namespace meadowgauge::program {
 
-// fleet::OutlierVerdicts decides which servers are ejected; this gives it its inputs and applies the result.
+// Supplies the inputs of fleet::OutlierVerdicts, which decides on ejections, and applies its results.
 class FleetVerdicts {
  public:
-  // `members` and `log` outlive this.
+  // `members` and `log` outlive this object.
   FleetVerdicts(std::string own_name, const membership::MemberTable& members, const FleetLog& log)
       : verdicts_(std::move(own_name)), members_(members), log_(log) {}
 
-  // The balancer outlives this. Without one tick() does nothing.
+  // The balancer outlives this object. Until it is set, tick() does nothing.
   void set_balancer(proxy::Balancer& balancer) { balancer_ = &balancer; }
 
   void record_success(std::uint32_t server, double now_ms) { verdicts_.record_success(server, now_ms); }
-  // The state of another instance, made at `made_at_ms`. True: it reports a server that was not failing.
+  // Merges the state of another instance, created at `made_at_ms`. Returns whether it reports a newly failing
+  // server.
   bool merge(const membership::MemberState& state, double made_at_ms);
-  // True: the balancer has ejected a server that was not failing. To be called on each tick.
+  // To be called on each tick. Returns whether the balancer has ejected a newly failing server.
   bool tick(double now_ms);
   // Writes this instance's observations into its own state.
   void report(membership::MemberState& own, double now_ms) const;
@@ -41,8 +43,8 @@
   const membership::MemberTable& members_;
   const FleetLog& log_;
   proxy::Balancer* balancer_ = nullptr;
-  std::vector<fleet::ServerId> ejected_;   // as last reported to the balancer
-  std::vector<fleet::ServerId> on_trial_;  // the same
+  std::vector<fleet::ServerId> ejected_;  // as last passed to the balancer, like on_trial_
+  std::vector<fleet::ServerId> on_trial_;
   double next_tick_at_ms_ = 0;
 };
 
--- a/src/program/lease_exchange.cpp
+++ b/src/program/lease_exchange.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr double requests_per_lease = 4;          // rounds of lease requests in one lease_ms
-constexpr double urgent_requests_per_lease = 10;  // the same where requests of clients were rejected
+constexpr double requests_per_lease = 4;          // rounds of lease requests per lease duration
+constexpr double urgent_requests_per_lease = 10;  // the same after client requests were rejected
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   }
 }
 
-// Checks the budget first: what is lent without a grant sent is lost until the lease ends.
+// Checks the budget before lending: a share lent without a sent grant is unusable until the lease ends.
 void LeaseExchange::receive_request(PeerIndex peer, const Datagram& request, double now_ms) {
   if (!may_send(now_ms)) return;
   auto grant = datagrams_.new_datagram(DatagramKind::lease_grant);
--- a/src/program/log.cpp
+++ b/src/program/log.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// In the order of their enums.
+// Indexed by the enumerators of Level and LogFormat.
 constexpr std::array<std::string_view, 4> level_names{"debug", "info", "warning", "error"};
 constexpr std::array<std::string_view, 2> format_names{"text", "json"};
 
@@ -48,7 +48,7 @@
   return nlohmann::json(std::get<double>(field.value)).dump();
 }
 
-// The event and its fields as members of the JSON object, after the members of the pattern.
+// Formats the event and its fields as members of the JSON object; the pattern supplies the others.
 std::string json_members(std::string_view event, std::span<const LogField> fields) {
   std::string text(R"("event":)");
   text += to_json(event);
@@ -57,7 +57,7 @@
   return text;
 }
 
-// The name is fixed, so it may stand in the pattern once its percent signs are doubled.
+// Puts the name into the pattern, because it never changes. Percent signs are doubled: spdlog expands them.
 std::string json_pattern(const std::string& name) {
   std::string escaped;
   for (const char c : to_json(name)) escaped += c == '%' ? "%%" : std::string(1, c);
@@ -90,7 +90,7 @@
   }
 
  private:
-  // Passes the line as a string_view: braces in it must not be taken for a format.
+  // Passes the line as a string_view, so that spdlog does not parse braces in it as a format string.
   void write_line(Level level, std::string_view line) {
     spdlog_.log(spdlog_level(level), spdlog::string_view_t(line.data(), line.size()));
   }
--- a/src/program/log.hpp
+++ b/src/program/log.hpp
@@ -12,21 +12,22 @@
 
 namespace meadowgauge::program {
 
-// The name in log lines while the process's name is unknown.
-inline constexpr const char* nameless = "-";
+// The name in log lines if the name of the process is unknown.
+inline constexpr const char* unknown_name = "-";
 
-// How a line is written; see Log.
+// The format of a log line; see Log.
 enum class LogFormat : std::uint8_t { text, json };
 
-// Parse the names on the command line; no value for other names.
+// Parse command-line values; no value if the name is unknown.
 std::optional<proxy::Level> parse_level(std::string_view name);
 std::optional<LogFormat> parse_log_format(std::string_view name);
 
-// Text: `2026-12-01T13:00:00.000Z NAME info: line`. JSON: {"at":...,"name":...,"level":...,"event":line, and
-// the line's fields}; bytes that are not UTF-8 are replaced. Times are UTC. Each line is flushed.
+// Writes log lines to a stream; times are UTC and each line is flushed. Text format:
+// `2026-12-01T13:00:00.000Z NAME info: line`. JSON format: {"at":...,"name":...,"level":...,"event":line}
+// with the line's fields as further members; invalid UTF-8 is replaced.
 class Log {
  public:
-  // Writes events of `level` and above. `out` outlives the log and all loggers from it.
+  // Writes events of `level` and above. `out` outlives the log and all loggers created from it.
   Log(std::ostream& out, proxy::Level level, LogFormat format, const std::string& name);
   // The logger shares the writer and may outlive the log.
   [[nodiscard]] proxy::Logger logger() const;
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -1,4 +1,5 @@
-// meadowgauge: the command line. Exit status 0: success; 1: startup failed, or `check` has found problems.
+// Entry point and command line of meadowgauge. Exit status 0: success; 1: startup failed, or `check` found
+// problems.
 #include <cxxopts.hpp>
 #include <exception>
 #include <iostream>
@@ -12,7 +13,7 @@
 
 using namespace meadowgauge::program;
 
-cxxopts::Options command_line() {
+cxxopts::Options build_option_parser() {
   cxxopts::Options options("meadowgauge", "A load balancer between services.");
   options.positional_help("serve|check|version")
       .add_options()("command", "serve: run the load balancer; check: validate the configuration; version",
@@ -37,7 +38,7 @@
 Options parse_options(const cxxopts::ParseResult& given) {
   Options options;
   const auto command = given["command"].as<std::string>();
-  // Help and version ignore all other options, valid or not.
+  // Help and version ignore all other options, even invalid ones.
   if (given.count("help") > 0) {
     options.subcommand = Subcommand::help;
     return options;
@@ -66,11 +67,11 @@
 }
 
 int run(int argc, char** argv) {
-  auto line = command_line();
-  const auto options = parse_options(line.parse(argc, argv));
+  auto parser = build_option_parser();
+  const auto options = parse_options(parser.parse(argc, argv));
   switch (options.subcommand) {
     case Subcommand::help:
-      std::cout << line.help();
+      std::cout << parser.help();
       return 0;
     case Subcommand::version:
       std::cout << "meadowgauge " MEADOWGAUGE_VERSION "\n";
--- a/src/program/operator_file.cpp
+++ b/src/program/operator_file.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t max_report_columns = 4;
 constexpr int default_max_attempts = 3;
 
-// The form of numbers in the decision module's settings.
+// Formats a number for the decision module's settings.
 std::string format_number(double value) {
   constexpr int significant_digits = 15;
   std::ostringstream text;
@@ -51,19 +51,19 @@
   return fallback;
 }
 
-// Reads a name that is unique among its kind and valid in a path and a header.
+// Reads the required `name`, which must not be in `taken` and must be valid in a path and a header.
 std::string read_unique_name(Reader& table, std::set<std::string>& taken) {
   std::string name;
   table.need("name");
   table.get("name", name);
   if (name.empty()) return name;
   if (name.find_first_of("/?#%;, \\\t\r\n\"") != std::string::npos)
-    table.wrong("name", "holds a character that can't stand there");
+    table.wrong("name", "contains an invalid character");
   table.require_unique("name", name, taken);
   return name;
 }
 
-// The decision module's name of a load report's value; other names are unchanged.
+// Maps a column of a load report to its name in the decision module; other names are unchanged.
 std::string report_column(const std::string& name) {
   using Names = std::pair<std::string_view, std::string_view>;
   constexpr std::array module_names{Names{"inflight", "concurrent"}, Names{"queue", "depth"},
@@ -73,8 +73,8 @@
   return it == module_names.end() ? name : std::string(it->second);
 }
 
-// Reads one file. Each table's function writes the decision module's settings, so that an operator's key and
-// the setting that it becomes stand side by side.
+// Reads one file. The function of each table writes the decision module's settings directly, so that a key
+// of the file and its setting appear on one line.
 class OperatorFileReader {
  public:
   explicit OperatorFileReader(std::vector<Problem>& problems) : problems_(problems) {}
@@ -128,13 +128,13 @@
     file.get("balancers_in_zone", balancers_in_zone_, 1, max_balancers);
     int number = 0;
     file.get("number", number, 0, max_number);
-    if (number >= balancers_in_zone_) file.wrong("number", "is not below balancers_in_zone");
+    if (number >= balancers_in_zone_) file.wrong("number", "must be less than balancers_in_zone");
     set("my_number", number);
     set("specifics.warm_keys", read_bool(file, "warm_keys", false));
     set("fees.cross_zone", read_number(file, "crossing_price", 0, 0, 1));
   }
 
-  // Requires exactly one source of the endpoint list: discovery or [[servers]].
+  // The endpoint list must have exactly one source: discovery or [[servers]].
   void read_list_source(Reader& file) {
     const bool from_discovery = file.has("discovery");
     const bool from_file = file.has("servers");
@@ -143,8 +143,8 @@
       file.get_parsed("discovery", *setup_.discovery);
     }
     if (from_discovery && from_file)
-      file.wrong("servers", "stands beside discovery: one of them says where the list comes from");
-    if (!from_discovery && !from_file) file.wrong("discovery", "or a list of servers is needed");
+      file.wrong("servers", "and discovery are mutually exclusive: set only one of them");
+    if (!from_discovery && !from_file) file.wrong("discovery", "or [[servers]] must be set");
   }
 
   void read_limits(Reader& table) {
@@ -160,7 +160,7 @@
     set("limits.probes", read_bool(table, "probes", false));
     set("limits.peer_messages", read_bool(table, "peer_messages", false));
     set("limits.cancelling", read_bool(table, "cancelling", true));
-    table.each("fleet", [this](Reader& t) { fleet_.read_limit(t); });
+    table.each("fleet", [this](Reader& limit_table) { fleet_.read_limit(limit_table); });
     const double retry_after_ms = read_duration(table, "retry_after_ms", 5000);
     set("limits.retry_after", retry_after_ms > 0);
     set("limits.max_retry_after_ms", retry_after_ms);
@@ -192,15 +192,15 @@
     table.get("columns", columns);
     for (auto& column : columns) {
       if (column.empty() || column.find(',') != std::string::npos)
-        table.wrong("columns", "holds what is no name of a figure");
+        table.wrong("columns", "contains an invalid column name");
       column = report_column(column);
     }
-    if (columns.size() > max_report_columns) table.wrong("columns", "holds more than four names");
+    if (columns.size() > max_report_columns) table.wrong("columns", "contains more than four names");
     set("report.how", std::string(module_modes[mode]));
     set("report.columns", join(columns));
   }
 
-  // A table of [[path_prefixes]]: a class of requests by their path.
+  // Reads one table of [[path_prefixes]], which defines a request class by the path.
   void read_request_class(Reader& table) {
     enum class Repeat : std::uint8_t { idempotent, deduplicated, at_most_once };
     constexpr std::array module_repeats{"idempotent", "deduplicated", "at_most_once"};
@@ -216,10 +216,10 @@
     set(path + "group", module_groups[group]);
     set(path + "key_ttl_ms", read_duration(table, "key_window_ms", 0));
     if (repeat == Repeat::deduplicated && !table.has("key_window_ms"))
-      table.wrong("repeat", "is tagged, so key_window_ms is needed");
+      table.wrong("repeat", "is tagged, which requires key_window_ms");
     const double target_ms = read_duration(table, "target_latency_ms", 1000, 1);
     const double timeout_ms = read_duration(table, "client_timeout_ms", 10000, 1);
-    if (target_ms > timeout_ms) table.wrong("target_latency_ms", "is beyond client_timeout_ms");
+    if (target_ms > timeout_ms) table.wrong("target_latency_ms", "is greater than client_timeout_ms");
     set(path + "target_latency_ms", target_ms);
     set(path + "client_timeout_ms", timeout_ms);
     set(path + "earnings", read_number(table, "earnings", 1, 0, 1e6));
@@ -239,7 +239,7 @@
     table.need("address");
     table.get("address", entry.dial);
     if (!entry.dial.empty() && !transport::Address::parse(entry.dial))
-      table.wrong("address", "is no address with a port: " + entry.dial);
+      table.wrong("address", "is not a valid address with a port: " + entry.dial);
     table.require_unique("address", entry.dial, server_addresses_);
     entry.zone = zone_;
     table.get("zone", entry.zone);
@@ -251,7 +251,8 @@
     setup_.known.hosts.push_back(std::move(entry));
   }
 
-  // The order of zones: `zones` of the file, this balancer's own, those that only servers name.
+  // Orders the zones: first `zones` of the file, then this balancer's own zone, then the other zones of
+  // servers.
   void set_zones() {
     std::vector<std::string> server_kinds;
     add_once(zones_, zone_);
@@ -266,7 +267,7 @@
     setup_.known.full = true;
   }
 
-  // Settings that the platform's file varies and that have one value for an operator's file.
+  // Sets the settings that only the platform's file can vary.
   void set_constants() {
     set("path_prefixes.count", request_classes_.size());
     set("tenants.count", tenants_.size());
@@ -282,7 +283,7 @@
   std::string zone_ = "here";
   std::vector<std::string> zones_;
   int balancers_in_zone_ = 1;
-  // Names in the order of the file; the sets below detect duplicates.
+  // Names in file order; the sets below detect duplicates.
   std::vector<std::string> request_classes_;
   std::vector<std::string> tenants_;
   std::set<std::string> request_class_names_;
--- a/src/program/operator_file.hpp
+++ b/src/program/operator_file.hpp
@@ -1,5 +1,5 @@
-// The operator's own configuration file in TOML (docs/operate/config.md has its keys), read into the same
-// setup as the platform's file.
+// Reads the operator's TOML configuration file into the same setup as the platform's file.
+// docs/operate/config.md lists the keys.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,8 @@
 
 namespace meadowgauge::program {
 
-// Appends each problem with its line and column to `problems`; the setup is valid only if there is none.
-// `seed` is the default for a file without `seed`.
+// Appends each problem with its line and column to `problems`; the setup is valid only if none was appended.
+// `seed` applies if the file sets none.
 proxy::Setup read_operator_file(const settings::Node& file, std::uint64_t seed,
                                 std::vector<settings::Problem>& problems);
 
--- a/src/program/options.hpp
+++ b/src/program/options.hpp
@@ -16,10 +16,10 @@
 // Defaults apply to options that are absent.
 struct Options {
   Subcommand subcommand = Subcommand::serve;
-  std::string config_file;  // in TOML; empty: the platform's environment variables
+  std::string config_file;  // path of the TOML file; empty: use the platform's environment variables
   proxy::Level log_level = proxy::Level::info;
   LogFormat log_format = LogFormat::text;
-  // Drain time after SIGTERM, in ms; absent: the maximum client timeout, within a bound.
+  // Drain time after SIGTERM, in ms; absent: the maximum client timeout, up to a bound.
   std::optional<unsigned> shutdown_delay_ms;
 };
 
--- a/src/program/platform_config.cpp
+++ b/src/program/platform_config.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::string_view not_an_address = "is no address with a port";
+constexpr std::string_view invalid_address_reason = "is not a valid address with a port";
 
 std::string required_variable(const Environment& environment, const char* name) {
   auto value = environment(name);
@@ -26,12 +26,13 @@
   const auto text = required_variable(environment, name);
   const auto address = transport::Address::parse(text);
   if (!address)
-    throw ConfigError(
-        {.key = name, .reason = std::string(not_an_address).append(": ").append(text), .value = text});
+    throw ConfigError({.key = name,
+                       .reason = std::string(invalid_address_reason).append(": ").append(text),
+                       .value = text});
   return *address;
 }
 
-// Nothing where the file has no such key.
+// No value if the file does not have the key.
 std::optional<transport::Address> read_address(const Json& config, std::string_view key) {
   const auto* value = config.find(key);
   if (!value) return std::nullopt;
@@ -39,11 +40,11 @@
   auto address = text ? transport::Address::parse(*text) : std::nullopt;
   if (!address)
     throw ConfigError(
-        {.key = std::string(key), .reason = std::string(not_an_address), .value = value->plain()});
+        {.key = std::string(key), .reason = std::string(invalid_address_reason), .value = value->plain()});
   return address;
 }
 
-// Reads a limit of the machine. An invalid limit is logged and keeps its default, so that startup goes on.
+// Reads a machine limit. An invalid value is logged and `limit` keeps its default, so that startup continues.
 void read_limit(const Json& limits, std::string_view name, std::size_t& limit, const proxy::Logger& log) {
   constexpr double max_limit = 1e9;
   const auto* value = limits.find(name);
@@ -57,7 +58,8 @@
       {{"key", std::string_view(key)}, {"value", static_cast<double>(limit)}});
 }
 
-[[noreturn]] void refuse_setting(std::string_view key, std::string_view value, const std::string& allowed) {
+[[noreturn]] void throw_invalid_setting(std::string_view key, std::string_view value,
+                                        const std::string& allowed) {
   throw ConfigError({.key = std::string("settings.").append(key),
                      .reason = "is not " + allowed,
                      .value = std::string(value)});
@@ -74,7 +76,7 @@
   if (is_number && value >= min_value && value <= max_value) return;
   std::ostringstream allowed;
   allowed << "between " << min_value << " and " << max_value;
-  refuse_setting(key, text, allowed.str());
+  throw_invalid_setting(key, text, allowed.str());
 }
 
 template <std::size_t size>
@@ -84,10 +86,10 @@
   if (it == settings.end()) return;
   for (const auto choice : choices)
     if (it->second == choice) return;
-  refuse_setting(key, it->second, allowed);
+  throw_invalid_setting(key, it->second, allowed);
 }
 
-// Validates the settings that select a mode: an error there would silently select another mode.
+// Validates the settings that select a mode, because an invalid value would silently select another mode.
 void check_settings(const Settings& settings) {
   constexpr std::array<std::string_view, 2> boolean_names{"true", "false"};
   constexpr std::array<std::string_view, 3> report_modes{"off", "inline", "on_probe"};
@@ -112,7 +114,7 @@
   log(Level::warning, "seed is not hexadecimal: using the default", {{"key", std::string_view("seed")}});
 }
 
-// Reads the endpoint list known before the start; without one the balancer waits for discovery.
+// Reads the initial endpoint list. Without it the balancer waits for discovery.
 void read_known_endpoints(const Json& config, protocol::EndpointList& known, const proxy::Logger& log) {
   const auto* value = config.find("known");
   if (!value) return;
@@ -135,7 +137,7 @@
   return std::move(*config);
 }
 
-std::string read_text(const std::string& path) {
+std::string read_whole_file(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   std::stringstream text;
   if (!(text << file.rdbuf()))
@@ -155,9 +157,9 @@
     read_limit(*limits, "sockets", setup.descriptors, log);
     read_limit(*limits, "memory_mb", setup.memory_mb, log);
   }
-  // A reload can change discovery only here: the environment is fixed at the start.
+  // A reload can change discovery only in the file, because the process's environment does not change.
   if (const auto discovery = read_address(config, "discovery")) setup.discovery = discovery;
-  // GW_MGMT overrides the file's address, which is then not validated.
+  // GW_MGMT overrides `mgmt` of the file, which is then not validated.
   if (!setup.mgmt) setup.mgmt = read_address(config, "mgmt");
   read_seed(config, setup.seed, log);
   read_known_endpoints(config, setup.known, log);
@@ -171,7 +173,7 @@
   const auto mgmt = environment("GW_MGMT");
   if (mgmt && !mgmt->empty()) setup.mgmt = address_variable(environment, "GW_MGMT");
   const auto path = required_variable(environment, "GW_CONFIG");
-  const auto text = read_text(path);
+  const auto text = read_whole_file(path);
   try {
     read_platform_file(text, setup, log);
   } catch (const ConfigError& error) {
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -1,4 +1,4 @@
-// The subcommand `serve`: wires the balancer to its configuration, signals, fleet and admin server.
+// The subcommand `serve`: connects the balancer to its configuration, signals, fleet and admin server.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -22,36 +22,39 @@
 
 using proxy::Level;
 
-// The name in each log line. Reads the configuration without a log, because the log needs the name first.
+// The name in each log line. Reads the configuration without logging, because the log is created with the
+// name.
 std::string log_name(const Options& options) {
-  if (options.config_file.empty()) return environment_variable("GW_NAME").value_or(nameless);
+  if (options.config_file.empty()) return environment_variable("GW_NAME").value_or(unknown_name);
   return read_configuration(options, {}).name;
 }
 
-// Caps the limit at RLIMIT_NOFILE.
+// Caps the configured descriptor limit at RLIMIT_NOFILE.
 void apply_descriptor_limit(proxy::Setup& setup) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) return;
   setup.descriptors = std::min<std::size_t>(setup.descriptors, limit.rlim_cur);
 }
 
-// The state shared with another process of this balancer at an upgrade; null without an admin server.
+// Opens the state shared with other processes of this balancer at a hot restart. Null without an admin
+// server.
 std::unique_ptr<SharedState> open_shared_state(proxy::Setup& setup) {
   if (!setup.mgmt) return nullptr;
-  // The address makes the name unique: other balancers may share the folder and the name.
+  // The address makes the name unique, because several balancers may share the folder and the name.
   const auto name = setup.name + "@" + setup.listen.text();
   auto shared = std::make_unique<SharedState>(environment_variable("TMPDIR").value_or(""), name);
   setup.shared = shared->directory.exists();
-  // The admin service starts the listener, so that a process without its admin address accepts no client.
+  // The admin service starts the listener, so that a process that cannot bind its admin address accepts no
+  // clients.
   setup.later = true;
   return shared;
 }
 
-// Owns all parts of one serving process. Members are destroyed from the last to the first: the balancer
-// before the objects that its callbacks refer to.
+// Owns all parts of one serving process. The order of the members matters: the balancer is destroyed before
+// the objects that its callbacks refer to.
 class Service {
  public:
-  // Throws where an address can't be listened on. `options` outlive the service.
+  // Throws if it cannot listen on an address. `options` outlive the service.
   Service(const Options& options, proxy::Setup setup, proxy::Logger log)
       : options_(options),
         log_(std::move(log)),
@@ -63,7 +66,7 @@
     if (setup.mgmt) start_admin_service(*setup.mgmt);
   }
 
-  // Returns when a graceful shutdown has ended.
+  // Returns when the graceful shutdown has finished.
   void run() {
     log_address(balancer_.listening() ? "listening on " : "waiting to listen on ", balancer_.address());
     balancer_.run();
@@ -88,7 +91,7 @@
     log_(Level::info, what + text, {{"address", std::string_view(text)}});
   }
 
-  // An invalid configuration leaves the one in use unchanged.
+  // If the new configuration is invalid, the one in use stays unchanged.
   void reload() {
     try {
       const auto setup = read_configuration(options_, log_);
@@ -125,7 +128,7 @@
 }  // namespace
 
 int serve(const Options& options) {
-  // A signal that arrives while the configuration is read stays pending until there is a handler.
+  // A signal that arrives while the configuration is read stays pending until Signals handles it.
   Signals::block();
   const Log log(std::cerr, options.log_level, options.log_format, log_name(options));
   const auto logger = log.logger();
--- a/src/program/signals.cpp
+++ b/src/program/signals.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-// A SIGHUP that arrives while the first configuration is being read would end the process by default.
+// Without this, a SIGHUP that arrives while the first configuration is read would end the process.
 void Signals::block() {
   const auto set = handled_signals();
   sigprocmask(SIG_BLOCK, &set, nullptr);
--- a/src/program/signals.hpp
+++ b/src/program/signals.hpp
@@ -9,17 +9,17 @@
 
 namespace meadowgauge::program {
 
-// There is one per process. Owns a signalfd; the signals stay blocked after its destruction.
+// Only one instance per process. Owns a signalfd; the signals stay blocked after its destruction.
 class Signals final : transport::Ready {
  public:
-  // Blocks the signals and ignores SIGPIPE. `on_terminate` is called for SIGTERM and SIGINT, `on_reload` for
-  // SIGHUP, from the loop, which outlives this. Throws std::system_error.
+  // Blocks the signals and ignores SIGPIPE. The loop calls `on_terminate` for SIGTERM and SIGINT, and
+  // `on_reload` for SIGHUP. `loop` outlives this object. Throws std::system_error.
   Signals(transport::Loop& loop, std::function<void()> on_terminate, std::function<void()> on_reload);
   ~Signals();
   Signals(const Signals&) = delete;
   Signals& operator=(const Signals&) = delete;
 
-  // Blocks the signals, so that none ends the process: they stay pending until a Signals exists.
+  // Blocks the signals, so that they do not end the process but stay pending until a Signals object exists.
   static void block();
   // Whether SIGTERM or SIGINT is pending.
   static bool termination_pending();
--- a/src/settings/tree.cpp
+++ b/src/settings/tree.cpp
@@ -10,15 +10,15 @@
 namespace meadowgauge::settings {
 namespace {
 
-Node converted(const toml::node& node) {
+Node convert(const toml::node& node) {
   Node result;
   result.line = node.source().begin.line;
   result.column = node.source().begin.column;
   if (const auto* entries = node.as_table()) {
     Node::Table children;
     for (const auto& [key, value] : *entries) {
-      auto& [name, child] = children.emplace_back(std::string(key.str()), converted(value));
-      // Problems name the position of the key, not of its value.
+      auto& [name, child] = children.emplace_back(std::string(key.str()), convert(value));
+      // Problems report the position of the key, not of its value.
       if (key.source().begin.line > 0) {
         child.line = key.source().begin.line;
         child.column = key.source().begin.column;
@@ -30,17 +30,17 @@
     result.value = std::move(children);
   } else if (const auto* list = node.as_array()) {
     Node::List items;
-    for (const auto& item : *list) items.push_back(converted(item));
+    for (const auto& item : *list) items.push_back(convert(item));
     result.value = std::move(items);
   } else if (auto text = node.value_exact<std::string>()) {
     result.value = *text;
-  } else if (auto whole = node.value_exact<std::int64_t>()) {
-    result.value = *whole;
-  } else if (auto real = node.value_exact<double>()) {
-    result.value = *real;
-  } else if (auto truth = node.value_exact<bool>()) {
-    result.value = *truth;
-  } else {  // dates and times: no key takes one, so each reader reports a wrong type
+  } else if (auto integer = node.value_exact<std::int64_t>()) {
+    result.value = *integer;
+  } else if (auto number = node.value_exact<double>()) {
+    result.value = *number;
+  } else if (auto boolean = node.value_exact<bool>()) {
+    result.value = *boolean;
+  } else {  // dates and times are not supported: readers of scalars report a wrong type
     result.value = Node::List{};
   }
   return result;
@@ -62,7 +62,7 @@
 
 Node read_text(std::string_view text, const std::string& name) {
   try {
-    return converted(toml::parse(text, name));
+    return convert(toml::parse(text, name));
   } catch (const toml::parse_error& error) {
     throw BadFile(format_problem(name, {std::string(error.description()), error.source().begin.line,
                                         static_cast<std::uint32_t>(error.source().begin.column)}));
@@ -71,7 +71,7 @@
 
 Node read_file(const std::string& path) {
   try {
-    return converted(toml::parse_file(path));
+    return convert(toml::parse_file(path));
   } catch (const toml::parse_error& error) {
     throw BadFile(format_problem(path, {std::string(error.description()), error.source().begin.line,
                                         static_cast<std::uint32_t>(error.source().begin.column)}));
@@ -80,10 +80,10 @@
 
 Reader::Reader(const Node& node, std::string path, std::vector<Problem>& problems)
     : node_(&node), path_(std::move(path)), problems_(&problems) {
-  if (!std::holds_alternative<Node::Table>(node.value)) problem(node, path_ + " is no table");
+  if (!std::holds_alternative<Node::Table>(node.value)) problem(node, path_ + " is not a table");
 }
 
-std::string Reader::name_of(std::string_view key) const {
+std::string Reader::full_key(std::string_view key) const {
   return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
 }
 
@@ -91,7 +91,7 @@
   problems_->push_back({std::move(text), at.line, at.column});
 }
 
-const Node* Reader::take(std::string_view key) {
+const Node* Reader::find_and_mark(std::string_view key) {
   known_.emplace_back(key);
   const auto* entries = std::get_if<Node::Table>(&node_->value);
   if (!entries) return nullptr;
@@ -106,104 +106,104 @@
          std::any_of(entries->begin(), entries->end(), [&](const auto& c) { return c.first == key; });
 }
 
-const Node& Reader::below(std::string_view key) {
+const Node& Reader::child_table(std::string_view key) {
   static const Node empty{Node::Table{}, 0, 0};
-  const auto* node = take(key);
+  const auto* node = find_and_mark(key);
   return node ? *node : empty;
 }
 
-const Node::List* Reader::list_of(std::string_view key) {
-  const auto* node = take(key);
+const Node::List* Reader::find_list(std::string_view key) {
+  const auto* node = find_and_mark(key);
   if (!node) return nullptr;
   const auto* list = std::get_if<Node::List>(&node->value);
-  if (!list) problem(*node, name_of(key) + " is no list of tables");
+  if (!list) problem(*node, full_key(key) + " is not a list of tables");
   return list;
 }
 
-void Reader::get(std::string_view key, std::string& into) {
-  const auto* node = take(key);
+void Reader::get(std::string_view key, std::string& output) {
+  const auto* node = find_and_mark(key);
   if (!node) return;
   if (const auto* s = std::get_if<std::string>(&node->value))
-    into = *s;
+    output = *s;
   else
-    problem(*node, name_of(key) + " is no text");
+    problem(*node, full_key(key) + " is not a string");
 }
 
-void Reader::get(std::string_view key, bool& into) {
-  const auto* node = take(key);
+void Reader::get(std::string_view key, bool& output) {
+  const auto* node = find_and_mark(key);
   if (!node) return;
   if (const auto* b = std::get_if<bool>(&node->value))
-    into = *b;
+    output = *b;
   else
-    problem(*node, name_of(key) + " is neither true nor false");
+    problem(*node, full_key(key) + " is neither true nor false");
 }
 
-void Reader::get(std::string_view key, double& into, double min_value, double max_value) {
-  const auto* node = take(key);
+void Reader::get(std::string_view key, double& output, double min_value, double max_value) {
+  const auto* node = find_and_mark(key);
   if (!node) return;
   double value = std::nan("");
   if (const auto* d = std::get_if<double>(&node->value)) value = *d;
   if (const auto* i = std::get_if<std::int64_t>(&node->value)) value = static_cast<double>(*i);
   if (std::isnan(value))
-    problem(*node, name_of(key) + " is no number");
+    problem(*node, full_key(key) + " is not a number");
   else if (value < min_value || value > max_value)
     problem(*node,
-            name_of(key) + " is not between " + format_bound(min_value) + " and " + format_bound(max_value));
+            full_key(key) + " is not between " + format_bound(min_value) + " and " + format_bound(max_value));
   else
-    into = value;
+    output = value;
 }
 
-void Reader::get(std::string_view key, int& into, int min_value, int max_value) {
-  const auto* node = take(key);
+void Reader::get(std::string_view key, int& output, int min_value, int max_value) {
+  const auto* node = find_and_mark(key);
   if (!node) return;
   const auto* i = std::get_if<std::int64_t>(&node->value);
   if (!i)
-    problem(*node, name_of(key) + " is no whole number");
+    problem(*node, full_key(key) + " is not an integer");
   else if (*i < min_value || *i > max_value)
-    problem(*node, name_of(key) + " is not between " + std::to_string(min_value) + " and " +
+    problem(*node, full_key(key) + " is not between " + std::to_string(min_value) + " and " +
                        std::to_string(max_value));
   else
-    into = static_cast<int>(*i);
+    output = static_cast<int>(*i);
 }
 
-void Reader::get(std::string_view key, std::uint64_t& into) {
-  const auto* node = take(key);
+void Reader::get(std::string_view key, std::uint64_t& output) {
+  const auto* node = find_and_mark(key);
   if (!node) return;
   if (const auto* i = std::get_if<std::int64_t>(&node->value); i && *i >= 0) {
-    into = static_cast<std::uint64_t>(*i);
+    output = static_cast<std::uint64_t>(*i);
     return;
   }
   if (const auto* s = std::get_if<std::string>(&node->value)) {
-    auto [end, bad] = std::from_chars(s->data(), s->data() + s->size(), into, 16);
-    if (bad == std::errc{} && end == s->data() + s->size()) return;
+    auto [end, error_code] = std::from_chars(s->data(), s->data() + s->size(), output, 16);
+    if (error_code == std::errc{} && end == s->data() + s->size()) return;
   }
-  problem(*node, name_of(key) + " is neither a whole number nor hexadecimal text");
+  problem(*node, full_key(key) + " is neither a non-negative integer nor a hexadecimal string");
 }
 
-void Reader::get(std::string_view key, std::vector<std::string>& into) {
-  const auto* node = take(key);
+void Reader::get(std::string_view key, std::vector<std::string>& output) {
+  const auto* node = find_and_mark(key);
   if (!node) return;
   const auto* list = std::get_if<Node::List>(&node->value);
-  if (!list) return problem(*node, name_of(key) + " is no list");
+  if (!list) return problem(*node, full_key(key) + " is not a list");
   std::vector<std::string> texts;
   for (const auto& item : *list) {
     const auto* s = std::get_if<std::string>(&item.value);
-    if (!s) return problem(item, name_of(key) + " holds what is no text");
+    if (!s) return problem(item, full_key(key) + " contains a value that is not a string");
     texts.push_back(*s);
   }
-  into = std::move(texts);
+  output = std::move(texts);
 }
 
-int Reader::choice_index(std::string_view key, const std::vector<std::string_view>& words) {
-  const auto* node = take(key);
+int Reader::find_choice(std::string_view key, const std::vector<std::string_view>& choices) {
+  const auto* node = find_and_mark(key);
   if (!node) return -1;
   std::string allowed;
   const auto* s = std::get_if<std::string>(&node->value);
-  for (std::size_t i = 0; i < words.size(); ++i) {
-    if (s && *s == words[i]) return static_cast<int>(i);
-    allowed.append(allowed.empty() ? "" : i + 1 == words.size() ? " or " : ", ").append(words[i]);
+  for (std::size_t i = 0; i < choices.size(); ++i) {
+    if (s && *s == choices[i]) return static_cast<int>(i);
+    allowed.append(allowed.empty() ? "" : i + 1 == choices.size() ? " or " : ", ").append(choices[i]);
   }
-  problem(*node, name_of(key) + " is not " + allowed);
+  problem(*node, full_key(key) + " is not " + allowed);
   return -1;
 }
 
@@ -212,15 +212,15 @@
   if (const auto* entries = std::get_if<Node::Table>(&node_->value))
     for (const auto& [name, child] : *entries)
       if (name == key) at = &child;
-  problem(*at, name_of(key) + " " + text);
+  problem(*at, full_key(key) + " " + text);
 }
 
 void Reader::need(std::string_view key) {
-  if (!has(key)) problem(*node_, name_of(key) + " is missing");
+  if (!has(key)) problem(*node_, full_key(key) + " is missing");
 }
 
 void Reader::require_unique(std::string_view key, const std::string& text, std::set<std::string>& taken) {
-  if (!text.empty() && !taken.insert(text).second) wrong(key, "stands twice: " + text);
+  if (!text.empty() && !taken.insert(text).second) wrong(key, "is used twice: " + text);
 }
 
 void Reader::end() {
@@ -228,7 +228,7 @@
   if (!entries) return;
   for (const auto& [name, child] : *entries)
     if (std::find(known_.begin(), known_.end(), name) == known_.end())
-      problem(child, name_of(name) + " is not known");
+      problem(child, full_key(name) + " is not known");
 }
 
 void throw_first_problem(const std::string& file, std::vector<Problem> problems) {
--- a/src/settings/tree.hpp
+++ b/src/settings/tree.hpp
@@ -1,5 +1,5 @@
-// An operator's TOML file as a tree of values with their positions. Readers record which keys were read, so
-// that unknown keys can be reported. toml++ parses the syntax.
+// Reads an operator's TOML file as a tree of values with their positions. A Reader records which keys were
+// read, so that unknown keys are reported. toml++ parses the syntax.
 #pragma once
 
 #include <cstdint>
@@ -14,23 +14,23 @@
 
 namespace meadowgauge::settings {
 
-// One error and its position; line and column count from 1, and are 0 for the file as a whole.
+// One error and its position. Line and column count from 1; both are 0 for an error of the whole file.
 struct Problem {
   std::string text;
   std::uint32_t line = 0;
   std::uint32_t column = 0;
 };
 
-// `file:line:column: text` or `file: text`.
+// Formats a problem as `file:line:column: text` or, without a position, as `file: text`.
 std::string format_problem(const std::string& file, const Problem& problem);
 
-// An invalid file; what() is one line with file, line, column and key.
+// Thrown for an unreadable or invalid file; what() is a problem formatted by format_problem().
 struct BadFile : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// A value of the file with its children and its position: for a table's entry that of its key. Dates and
-// times are read as an empty list, which no key takes.
+// A value of the file with its children and its position. The position of a table's entry is that of its key.
+// Dates and times are read as an empty list; no key has such a value.
 class Node {
  public:
   using List = std::vector<Node>;
@@ -40,78 +40,82 @@
   std::uint32_t column = 0;
 };
 
-// Throw BadFile for an unreadable file or invalid TOML. `name` is the file's name in messages.
+// Parse a file or a text. Throw BadFile if the file is unreadable or not valid TOML. `name` is the file's
+// name in messages.
 Node read_file(const std::string& path);
 Node read_text(std::string_view text, const std::string& name);
 
-// Reads a table: each get() marks its key as known; end() reports the other keys as problems.
+// Reads one table. Every function that reads a key marks it as known; end() reports the other keys as
+// unknown.
 class Reader {
  public:
-  // Both outlive the reader. `path` is the table's name for messages.
+  // `node` and `problems` outlive the reader. `path` is the table's name in messages.
   Reader(const Node& node, std::string path, std::vector<Problem>& problems);
 
-  // An absent key leaves `into` unchanged. A wrong type or a number outside [min_value, max_value] is a
-  // problem.
-  void get(std::string_view key, std::string& into);
-  void get(std::string_view key, bool& into);
-  void get(std::string_view key, double& into, double min_value, double max_value);
-  void get(std::string_view key, int& into, int min_value, int max_value);
-  void get(std::string_view key, std::uint64_t& into);  // a whole number, or hexadecimal text
-  void get(std::string_view key, std::vector<std::string>& into);
-  // Text that T::parse() accepts; empty text counts as absent. T::description names the expected form in
-  // messages.
+  // Reads the value of `key`. If the key is absent, the output is unchanged. A wrong type or a number outside
+  // [min_value, max_value] is reported as a problem.
+  void get(std::string_view key, std::string& output);
+  void get(std::string_view key, bool& output);
+  void get(std::string_view key, double& output, double min_value, double max_value);
+  void get(std::string_view key, int& output, int min_value, int max_value);
+  void get(std::string_view key, std::uint64_t& output);  // an integer, or a hexadecimal string
+  void get(std::string_view key, std::vector<std::string>& output);
+  // Reads a string with T::parse(); an empty string counts as absent. T::description names the expected form
+  // in messages.
   template <class T>
-  void get_parsed(std::string_view key, T& into) {
+  void get_parsed(std::string_view key, T& output) {
     std::string text;
     get(key, text);
     if (text.empty()) return;
     if (auto value = T::parse(text))
-      into = *value;
+      output = *value;
     else
-      wrong(key, "is no " + std::string(T::description) + ": " + text);
+      wrong(key, "is not a valid " + std::string(T::description) + ": " + text);
   }
-  // One of `words`: the enumerator whose value is its index goes into `into`.
+  // Reads one of `choices`. The output is the enumerator whose value is the index of the word.
   template <class E>
-  void choose(std::string_view key, E& into, std::initializer_list<std::string_view> words) {
-    int at = choice_index(key, std::vector<std::string_view>(words));
-    if (at >= 0) into = static_cast<E>(at);
+  void choose(std::string_view key, E& output, std::initializer_list<std::string_view> choices) {
+    int at = find_choice(key, std::vector<std::string_view>(choices));
+    if (at >= 0) output = static_cast<E>(at);
   }
 
-  // Whether the key is there; does not mark it as known.
+  // Returns whether the key is present; does not mark it as known.
   [[nodiscard]] bool has(std::string_view key) const;
-  // Calls `f` with a child table, empty if absent, so that defaults apply; or with each table of a list.
+  // Reads a child table with a reader of its own. An absent table is read as an empty one, so that defaults
+  // apply.
   template <class F>
-  void table(std::string_view key, F&& f) {
-    Reader r(below(key), name_of(key), *problems_);
-    f(r);
-    r.end();
+  void table(std::string_view key, F&& read_table) {
+    Reader reader(child_table(key), full_key(key), *problems_);
+    read_table(reader);
+    reader.end();
   }
+  // Reads each table of a list of tables with a reader of its own.
   template <class F>
-  void each(std::string_view key, F&& f) {
-    const auto* list = list_of(key);
+  void each(std::string_view key, F&& read_table) {
+    const auto* list = find_list(key);
     for (std::size_t i = 0; list && i < list->size(); ++i) {
-      Reader r((*list)[i], name_of(key) + "[" + std::to_string(i) + "]", *problems_);
-      f(r);
-      r.end();
+      Reader reader((*list)[i], full_key(key) + "[" + std::to_string(i) + "]", *problems_);
+      read_table(reader);
+      reader.end();
     }
   }
 
-  // Reports a problem that the caller found with `key`.
+  // Reports a problem with `key` that the caller has found. `text` follows the key's name in the message.
   void wrong(std::string_view key, const std::string& text);
   // Reports a problem if the key is absent.
   void need(std::string_view key);
-  // Reports a problem if `text`, read from `key`, is in `taken`; else adds it. Empty text is ignored.
+  // Reports a problem if `text`, read from `key`, is in `taken`; else adds it. Ignores an empty text.
   void require_unique(std::string_view key, const std::string& text, std::set<std::string>& taken);
-  // Reports each key that was not read.
+  // Reports each key of the table that is not marked as known.
   void end();
   [[nodiscard]] const std::string& path() const { return path_; }
 
  private:
-  const Node* take(std::string_view key);
-  const Node& below(std::string_view key);
-  const Node::List* list_of(std::string_view key);
-  int choice_index(std::string_view key, const std::vector<std::string_view>& words);
-  [[nodiscard]] std::string name_of(std::string_view key) const;
+  const Node* find_and_mark(std::string_view key);
+  const Node& child_table(std::string_view key);
+  const Node::List* find_list(std::string_view key);
+  int find_choice(std::string_view key, const std::vector<std::string_view>& choices);
+  [[nodiscard]] std::string full_key(std::string_view key) const;
   void problem(const Node& at, std::string text);
 
   const Node* node_;
@@ -120,7 +124,7 @@
   std::vector<std::string> known_;
 };
 
-// Throws BadFile with the first problem by line, if any.
+// Throws BadFile with the first problem by line and column, if there is one.
 void throw_first_problem(const std::string& file, std::vector<Problem> problems);
 
 }  // namespace meadowgauge::settings
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// The admin server: its commands as values, and the running program's replies and metrics. The test plays
+// Tests the parser of admin commands, and the replies and metrics of the running program. The tests act as
 // operators, clients and upstreams over loopback.
 #include <gtest/gtest.h>
 
@@ -33,7 +33,7 @@
   EXPECT_EQ(rejected("OFFLINE " + std::string(300, 'x')), CommandError::not_text);
 }
 
-TEST(AdminServer, AnswersCommandsAndRefusesWhatItCannotRead) {
+TEST(AdminServer, AnswersCommandsAndRejectsInvalidOnes) {
   ProxyProcess proxy({.admin_server = true});
   EXPECT_EQ(proxy.admin_reply("HEALTH\n"), "ok ready\n");
   EXPECT_EQ(proxy.admin_reply("HEALTH\r\n"), "ok ready\n");
@@ -50,6 +50,7 @@
   EXPECT_TRUE(dump.ends_with("\neof\n"));
 }
 
+// Connections that send nothing must exhaust neither the descriptors nor the admin server's connections.
 TEST(AdminServer, AnswersDespiteSilentConnections) {
   ProxyProcess proxy({.sockets = 256, .admin_server = true});
   std::vector<TcpConnection> silent;
@@ -59,8 +60,8 @@
   EXPECT_TRUE(silent.front().wait_for_end());
 }
 
-// The metrics against what the test sent and received.
-TEST(Metrics, MatchWhatClientsAndUpstreamsSaw) {
+// Compares the metrics with the requests and responses that the test sent and received.
+TEST(Metrics, MatchObservedRequestsAndResponses) {
   ProxyProcess proxy({.upstreams = 1, .admin_server = true});
   auto client = proxy.connect();
   client.send(http_request("/pay"));
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -1,5 +1,6 @@
-// Upgrades: a new process of the program takes over from the running one. Tests the shared files and the
-// learned state as values, then two processes with the test as clients and upstream over loopback.
+// Tests hot restart, in which a new process takes over from a running one: first the shared files and the
+// learned state without processes, then running processes, with the test as clients and upstream over
+// loopback.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -22,6 +23,7 @@
 namespace meadowgauge::test {
 namespace {
 
+// A killed process and processes of another balancer must not be counted as peers.
 TEST(InstanceLocks, CountOlderAndNewerProcessesUntilTheyExit) {
   TemporaryDirectory directory;
   hot_restart::StateDirectory state(directory.path(), "n0");
@@ -36,57 +38,61 @@
   hot_restart::InstanceLocks third(state);
   EXPECT_EQ(third.scan().older, 2);
   EXPECT_EQ(hot_restart::InstanceLocks(hot_restart::StateDirectory(directory.path(), "n1")).scan().total(), 0)
-      << "of another balancer";
+      << "a process of another balancer was counted";
   first.reset();
   EXPECT_EQ(second->scan().total(), 1);
   second.reset();
   EXPECT_EQ(third.scan().total(), 0);
-  std::ofstream(state.path_of("seat.99")) << 'y';  // file of a killed process
+  std::ofstream(state.path_of("seat.99")) << 'y';  // lock file of a killed process
   EXPECT_EQ(third.scan().total(), 0);
   EXPECT_EQ(hot_restart::InstanceLocks(hot_restart::StateDirectory()).scan().total(), 0);
 }
 
-TEST(HandoverSnapshots, AreAcceptedOnlyWholeAndRecent) {
+// A truncated, outdated or future-dated snapshot must not be restored.
+TEST(HandoverSnapshots, AreRejectedWhenTruncatedOrExpired) {
   LearnedState learned{{"calm", 12.5}, {"bench@s1", 1e12}};
   auto text = hot_restart::encode_snapshot(learned, 1000);
   auto decoded = hot_restart::decode_snapshot(text, 3000, 5000);
   ASSERT_TRUE(std::holds_alternative<LearnedState>(decoded));
   EXPECT_EQ(std::get<LearnedState>(decoded), learned);
-  auto error_at = [&](std::string_view some, double now_ms) {
-    auto result = hot_restart::decode_snapshot(some, now_ms, 5000);
+  auto error_at = [&](std::string_view candidate, double now_ms) {
+    auto result = hot_restart::decode_snapshot(candidate, now_ms, 5000);
     const auto* error = std::get_if<hot_restart::TextError>(&result);
     return error ? std::optional(error->kind) : std::nullopt;
   };
   EXPECT_EQ(error_at(text, 7000), hot_restart::TextError::Kind::expired);
   EXPECT_EQ(error_at(text, -9000), hot_restart::TextError::Kind::expired);
-  for (std::size_t n = 0; n < text.size(); ++n) EXPECT_TRUE(error_at(text.substr(0, n), 3000)) << n;
+  for (std::size_t length = 0; length < text.size(); ++length)
+    EXPECT_TRUE(error_at(text.substr(0, length), 3000)) << length;
 }
 
-TEST(LearnedState, NamesTheUnresponsiveEndpoint) {
-  PolicyHarness w({}, 4, 3);
+// Endpoint 2 never responds, so it is ejected, and the successor must learn of the ejection.
+TEST(LearnedState, IncludesEjectedEndpoints) {
+  PolicyHarness harness({}, 4, 3);
   for (int i = 0; i < 110; ++i) {
-    int sends_before = w.sends[2];
-    int id = w.submit(1, 5000);
-    w.pass(40);
-    if (w.sends[2] == sends_before) w.end(id, 0, Outcome::succeeded);
+    int sends_before = harness.sends[2];
+    int id = harness.submit(1, 5000);
+    harness.pass(40);
+    if (harness.sends[2] == sends_before) harness.end(id, 0, Outcome::succeeded);
   }
-  ASSERT_GT(w.sends[2], 0);
-  EXPECT_GT(w.policy.learned_state(w.now_ms)["bench@2"], w.now_ms);
-  EXPECT_FALSE(w.policy.learned_state(w.now_ms).contains("bench@1"));
+  ASSERT_GT(harness.sends[2], 0);
+  EXPECT_GT(harness.policy.learned_state(harness.now_ms)["bench@2"], harness.now_ms);
+  EXPECT_FALSE(harness.policy.learned_state(harness.now_ms).contains("bench@1"));
 }
 
+// A successor must not send requests to an endpoint that its predecessor has ejected.
 TEST(LearnedState, RestoresBaselineLatencyAndEjections) {
-  PolicyHarness w({}, 4, 3);
+  PolicyHarness harness({}, 4, 3);
   for (int i = 0; i < 200; ++i) {
-    int id = w.submit(1, 5000);
-    w.pass(40);
-    w.end(id, 0, Outcome::succeeded);
+    int id = harness.submit(1, 5000);
+    harness.pass(40);
+    harness.end(id, 0, Outcome::succeeded);
   }
-  auto learned = w.policy.learned_state(w.now_ms);
+  auto learned = harness.policy.learned_state(harness.now_ms);
   ASSERT_GT(learned["calm"], 0);
-  learned["bench@2"] = w.now_ms + 5000;
+  learned["bench@2"] = harness.now_ms + 5000;
   PolicyHarness next({}, 4, 4);
-  next.now_ms = w.now_ms;
+  next.now_ms = harness.now_ms;
   next.policy.restore(learned, next.now_ms);
   EXPECT_EQ(next.policy.learned_state(next.now_ms)["calm"], learned["calm"]);
   EXPECT_EQ(next.policy.unavailable_endpoints(next.now_ms), 1);
@@ -94,14 +100,15 @@
   EXPECT_EQ(next.sends[2], 0);
 }
 
-TEST(Upgrade, EndsNoRequestAndOnlyTheOldProcess) {
+// A hot restart must neither break requests in flight nor refuse connections.
+TEST(Upgrade, CompletesRequestsOfTheOldProcess) {
   UpgradePair pair;
   auto existing = pair.old.connect();
   existing.send(http_request("/pay"));
   auto upstream = pair.upstream.accept();
   upstream.receive_message();
   pair.start_next();
-  EXPECT_TRUE(pair.next->admin_reply("HEALTH\n").starts_with("fail")) << "it does not serve yet";
+  EXPECT_TRUE(pair.next->admin_reply("HEALTH\n").starts_with("fail")) << "the new process must not serve yet";
   pair.wait_until_next_serves();
   EXPECT_EQ(pair.next->admin_reply("HEALTH\n"), "ok ready\n");
   for (int i = 0; i < 20; ++i) EXPECT_EQ(pair.old.get_status("/-/ready"), 200);
@@ -109,7 +116,7 @@
   later.send(http_request("/pay"));
   auto other = pair.upstream.accept();
   other.receive_message();
-  EXPECT_EQ(pair.next->metric("inflight"), 1) << "new connections go to the new process";
+  EXPECT_EQ(pair.next->metric("inflight"), 1) << "new connections must go to the new process";
   pair.old.terminate();
   pair.old.wait_for_log("another process has taken over");
   upstream.send(ok_response);
@@ -122,7 +129,8 @@
   EXPECT_EQ(status_of(later.receive_message()), 200);
 }
 
-TEST(Upgrade, ChangesNothingWhenTheNewProcessFails) {
+// A new process that crashes, before or after it serves, must not affect the old one.
+TEST(Upgrade, KeepsServingWhenTheNewProcessFails) {
   UpgradePair pair;
   pair.start_next();
   kill(pair.next->pid(), SIGKILL);
@@ -139,7 +147,8 @@
   EXPECT_EQ(pair.old.admin_reply("HEALTH\n"), "ok ready\n");
 }
 
-TEST(Upgrade, IsAPlannedShutdownWhenTheOldProcessEndsFirst) {
+// The old process may be told to end before the new one serves; it must accept connections until then.
+TEST(Upgrade, TakesOverWhenTheOldProcessEndsFirst) {
   UpgradePair pair;
   pair.start_next();
   pair.old.terminate();
@@ -150,6 +159,7 @@
   EXPECT_EQ(pair.next->get_status("/-/ready"), 200);
 }
 
+// A drain set through either process must apply in both, and remain after the old one has ended.
 TEST(Upgrade, SharesManualDrainsBetweenBothProcesses) {
   UpgradePair pair;
   pair.start_next();
@@ -168,7 +178,8 @@
   EXPECT_EQ(status_of(client.receive_message()), 503);
 }
 
-TEST(Upgrade, KeepsToTheLimitsWhenTwoFollowWithReloads) {
+// The descriptor limit holds for both processes together, also if both reload during the takeover.
+TEST(Upgrade, KeepsLimitsAcrossTwoUpgradesAndReloads) {
   UpgradePair pair;
   std::vector<TcpConnection> idle;
   auto fill = [&] {
@@ -195,7 +206,8 @@
   EXPECT_EQ(status_of(client.receive_message()), 200);
 }
 
-TEST(Upgrade, ServesAtOnceWhenTheOldProcessIsKilled) {
+// A new process must not wait for an old one that has crashed.
+TEST(Upgrade, ServesImmediatelyWhenTheOldProcessIsKilled) {
   UpgradePair pair;
   pair.start_next();
   kill(pair.old.pid(), SIGKILL);
@@ -204,7 +216,8 @@
   EXPECT_EQ(pair.next->get_status("/-/ready"), 200);
 }
 
-TEST(Upgrade, ExitsAtOnceWhenItHasNeverServed) {
+// A process told to end during its takeover has no requests to drain.
+TEST(Upgrade, ExitsImmediatelyWhenItHasNeverServed) {
   UpgradePair pair;
   pair.start_next();
   kill(pair.old.pid(), SIGKILL);
--- a/tests/hot_restart/stored_data_test.cpp
+++ b/tests/hot_restart/stored_data_test.cpp
@@ -1,5 +1,6 @@
-// Bytes that other processes of a balancer or other instances of a fleet read. The constants come from an
-// earlier build; this build must read the same values from them and write the same bytes.
+// Tests the compatibility of bytes that other processes of a balancer or other instances of a fleet read. The
+// constants come from an earlier build; this build must read the same values from them and write the same
+// bytes.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -70,7 +71,7 @@
   return datagram;
 }
 
-TEST(StoredData, DatagramsAreWrittenAsBefore) {
+TEST(StoredData, EncodesDatagramsUnchanged) {
   auto gossip = membership::encode_datagram(stored_datagram(DatagramKind::gossip));
   EXPECT_EQ(hex(gossip.bytes), gossip_hex);
   EXPECT_EQ(gossip.member_count, 2U);
@@ -82,7 +83,7 @@
 
 Datagram decoded(std::string_view text) { return test::decode_or_fail(from_hex(text)); }
 
-TEST(StoredData, DatagramsAreReadAsTheyWereMeant) {
+TEST(StoredData, DecodesStoredDatagrams) {
   auto gossip = decoded(gossip_hex);
   EXPECT_EQ(gossip.kind, DatagramKind::gossip);
   EXPECT_EQ(gossip.from, "b0");
@@ -108,7 +109,7 @@
   EXPECT_EQ(grant.recipient_incarnation, 1796000000002U);
 }
 
-TEST(StoredData, TheDigestOfAFleetsFileIsAsBefore) {
+TEST(StoredData, FleetConfigDigestIsUnchanged) {
   fleet::FleetConfig c;
   c.name = "b0";
   c.members = {{.name = "b1", .address = {}, .zone = {}, .region = {}, .weight = 2},
@@ -129,7 +130,7 @@
           "of the burst"}));
 }
 
-TEST(StoredData, ManualDrainsAndSnapshotAreAsBefore) {
+TEST(StoredData, ManualDrainsAndSnapshotAreUnchanged) {
   std::set<std::string> names{"s 2", "s1", "server-3"};
   auto decoded = hot_restart::decode_drains(drains_text);
   ASSERT_TRUE(std::holds_alternative<std::set<std::string>>(decoded));
@@ -142,7 +143,7 @@
   EXPECT_EQ(std::get<LearnedState>(snapshot), learned);
 }
 
-TEST(StoredData, FilesOfABalancerHaveTheNamesAndContentsOfBefore) {
+TEST(StoredData, FileNamesAndContentsAreUnchanged) {
   std::string folder = (std::filesystem::temp_directory_path() / "meadowgauge_stored.XXXXXX").string();
   ASSERT_NE(mkdtemp(folder.data()), nullptr);
   auto content = [&](const std::string& name) {
--- a/tests/hot_restart/takeover_test.cpp
+++ b/tests/hot_restart/takeover_test.cpp
@@ -1,5 +1,5 @@
-// Takeover at an upgrade as values: the actions of one process as others start, serve and exit, in given and
-// in random schedules. No process is started.
+// Tests the Takeover state machine without processes: the actions of one process while others start, serve
+// and exit, in fixed and in random schedules.
 #include "hot_restart/takeover.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace meadowgauge::hot_restart {
 namespace {
 
-// The actions of a process since its start.
+// Counts the actions of a process since its start.
 struct History {
   int listened = 0;
   int handed_over = 0;
@@ -17,6 +17,7 @@
   bool ended_unserved = false;
 };
 
+// Updates `history` and checks that the actions are consistent with it.
 void check(const TakeoverActions& actions, const PeerProcesses& peers, History& history) {
   history.listened += actions.listen ? 1 : 0;
   history.handed_over += actions.handover ? 1 : 0;
@@ -41,8 +42,8 @@
   EXPECT_EQ(actions.share, 1.0 / (1 + peers.total()));
 }
 
-// Each outcome in the table of docs/design/day-to-day.md, with no step twice.
-TEST(Takeovers, FollowTheTableOfTheDesign) {
+// Covers each outcome in the table of docs/design/day-to-day.md, and that no action is repeated.
+TEST(Takeovers, CoverEachDocumentedOutcome) {
   Takeover alone({}, 0);
   EXPECT_FALSE(alone.replaces_another());
   auto actions = alone.update({}, false, 0);
@@ -50,18 +51,18 @@
   actions = alone.update({.newer = 1}, true, 1500);  // another process has started
   EXPECT_TRUE(actions.set_share && actions.share == 0.5 && !actions.listen && !actions.save_snapshot);
   EXPECT_FALSE(alone.update({.newer = 1}, true, 1600).set_share);
-  EXPECT_EQ(alone.update({}, true, 1700).share, 1);  // the other failed
+  EXPECT_EQ(alone.update({}, true, 1700).share, 1);  // the other process has failed
   EXPECT_TRUE(alone.update({}, true, 2900).save_snapshot);
   alone.end();
-  EXPECT_FALSE(alone.update({.newer = 1}, true, 3000).handover);  // it serves until the new one does
+  EXPECT_FALSE(alone.update({.newer = 1}, true, 3000).handover);  // serves until the new process does
   EXPECT_TRUE(alone.update({.newer = 1, .newer_serves = true}, true, 3100).handover);
   EXPECT_FALSE(alone.update({.newer = 1, .newer_serves = true}, true, 3200).handover);
 
   Takeover next({.older = 1}, 0);
   EXPECT_TRUE(next.replaces_another());
   EXPECT_EQ(next.update({.older = 1}, true, 0).share, 0.5);
-  EXPECT_FALSE(next.update({.older = 1}, true, 200).listen);   // the old one has not handed over yet
-  EXPECT_FALSE(next.update({.older = 1}, false, 900).listen);  // no list from discovery yet
+  EXPECT_FALSE(next.update({.older = 1}, true, 200).listen);   // not yet seen by older processes
+  EXPECT_FALSE(next.update({.older = 1}, false, 900).listen);  // discovery has not answered yet
   actions = next.update({.older = 1}, false, 1500);
   EXPECT_TRUE(actions.listen && actions.claim_connections);
   EXPECT_GT(next.drain_delay_ms(), 0);
@@ -71,16 +72,16 @@
 
   Takeover third({.older = 2}, 0);
   EXPECT_NEAR(third.update({.older = 2}, true, 300).share, 1.0 / 3, 1e-9);
-  EXPECT_TRUE(third.update({.older = 1}, true, 400).claim_connections);  // fewer are older now
+  EXPECT_TRUE(third.update({.older = 1}, true, 400).claim_connections);  // an older process has ended
 
-  Takeover remaining({.older = 1}, 0);  // the old one is killed first
+  Takeover remaining({.older = 1}, 0);  // the old process is killed first
   EXPECT_TRUE(remaining.update({}, false, 100).listen);
   Takeover never_served({.older = 1}, 0);
   never_served.end();
   EXPECT_FALSE(never_served.update({.older = 1}, true, 5000).listen);
 }
 
-TEST(Takeovers, AnyScheduleKeepsTheInvariants) {
+TEST(Takeovers, RandomSchedulesKeepTheInvariants) {
   for (unsigned seed = 0; seed < 20000 && !testing::Test::HasFailure(); ++seed) {
     std::minstd_rand rng(seed + 1);
     PeerProcesses peers{.older = static_cast<int>(rng() % 3)};
--- a/tests/program/platform_config_test.cpp
+++ b/tests/program/platform_config_test.cpp
@@ -1,4 +1,4 @@
-// The platform's configuration file, read as text into the proxy's settings.
+// Tests reading of the platform's JSON file into the proxy's settings.
 #include "program/platform_config.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,9 @@
 namespace meadowgauge::program {
 namespace {
 
-TEST(PlatformConfig, NamesWhatItCanNotReadAndGoesOn) {
+// An invalid optional part must not prevent startup: it is logged and keeps its default. Invalid JSON and
+// missing settings do prevent startup.
+TEST(PlatformConfig, LogsInvalidOptionalPartsAndContinues) {
   std::string log;
   proxy::Logger logger(proxy::Level::debug,
                        [&](proxy::Level, std::string_view line, std::span<const proxy::LogField>) {
