--- a/src/testbed/address_plan.cpp
+++ b/src/testbed/address_plan.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The second byte of 127.x.y.z. Servers and relays have one network per balancer, from the first on.
+// The second byte of 127.x.y.z. Servers and relays have a network per balancer, numbered from the first one.
 constexpr int first_server_network = 16;
 constexpr int first_relay_network = 64;
 constexpr int balancer_network = 112;
@@ -21,7 +21,7 @@
                                     std::to_string(c) + ":" + std::to_string(port));
 }
 
-transport::Address in_networks(int first, int tier, int server, int balancer, int port) {
+transport::Address address_in_network(int first, int tier, int server, int balancer, int port) {
   return loopback(first + balancer, tier * subnets_per_tier + server / servers_per_subnet,
                   1 + server % servers_per_subnet, port);
 }
@@ -29,10 +29,10 @@
 }  // namespace
 
 transport::Address AddressPlan::server(int tier, int server, int balancer) const {
-  return in_networks(first_server_network, tier, server, balancer, port);
+  return address_in_network(first_server_network, tier, server, balancer, port);
 }
 transport::Address AddressPlan::relay(int tier, int server, int balancer) const {
-  return in_networks(first_relay_network, tier, server, balancer, port);
+  return address_in_network(first_relay_network, tier, server, balancer, port);
 }
 transport::Address AddressPlan::balancer(int tier, int balancer) const {
   return loopback(balancer_network, tier, 1 + balancer, port);
--- a/src/testbed/balancer_config_json.cpp
+++ b/src/testbed/balancer_config_json.cpp
@@ -31,13 +31,13 @@
 namespace {
 
 json request_classes_json(const Experiment& experiment) {
-  constexpr std::array idempotency_words{"idempotent", "deduplicated", "at_most_once"};
-  constexpr std::array scope_words{"all", "zone", "cell"};
+  constexpr std::array idempotency_names{"idempotent", "deduplicated", "at_most_once"};
+  constexpr std::array scope_names{"all", "zone", "cell"};
   json classes = json::array();
   for (const auto& spec : experiment.request_classes)
     classes.push_back({{"name", spec.name},
-                       {"repeat", idempotency_words[static_cast<std::size_t>(spec.idempotency)]},
-                       {"group", scope_words[static_cast<std::size_t>(spec.scope)]},
+                       {"repeat", idempotency_names[static_cast<std::size_t>(spec.idempotency)]},
+                       {"group", scope_names[static_cast<std::size_t>(spec.scope)]},
                        {"key_ttl_ms", spec.deduplication_window_ms},
                        {"target_latency_ms", spec.latency_objective_ms},
                        {"client_timeout_ms", spec.timeout_ms},
@@ -102,7 +102,7 @@
           {"limits", limits_json(experiment, tier)}};
 }
 
-// Sets the nested setting `a.b.c`. A value that is not valid JSON is a string.
+// Sets the nested setting at `path`, in the form `a.b.c`. A value that is not valid JSON becomes a string.
 void override_setting(json& settings, const std::string& path, const std::string& value) {
   std::string pointer = "/" + path;
   std::replace(pointer.begin(), pointer.end(), '.', '/');
--- a/src/testbed/balancer_events.hpp
+++ b/src/testbed/balancer_events.hpp
@@ -1,4 +1,4 @@
-// Availability events of balancers, from the thread that runs their processes to one other thread.
+// Availability events of balancers, sent from the thread that runs their processes to one other thread.
 #pragma once
 
 #include <atomic>
@@ -8,7 +8,7 @@
 
 namespace meadowgauge::testbed {
 
-// Safe for one reader and any number of writers.
+// Thread-safe for one reader and any number of writers.
 class BalancerEventQueue {
  public:
   struct Event {
@@ -20,7 +20,7 @@
     events_.push_back(event);
     has_events_ = true;
   }
-  // Returns all events since the last call, in order. Costs one load if there are none.
+  // Returns all events since the last call, in order. Takes no lock if there are none: one atomic load.
   std::vector<Event> take() {
     if (!has_events_.load(std::memory_order_relaxed)) return {};
     std::lock_guard lock(mutex_);
--- a/src/testbed/balancer_lifecycle.cpp
+++ b/src/testbed/balancer_lifecycle.cpp
@@ -21,7 +21,7 @@
       break;
   }
   bool kill = action.kind == Action::Kind::kill;
-  // A process that is exiting already accepts a kill but no second graceful shutdown.
+  // A process that is already exiting may still be killed, but gets no second graceful shutdown.
   if (exit_requested_ && !kill) return Signal::none;
   exit_requested_ = true;
   requested_at_ms_ = now_ms;
--- a/src/testbed/balancer_processes.cpp
+++ b/src/testbed/balancer_processes.cpp
@@ -45,14 +45,16 @@
 }
 
 std::string BalancerProcesses::write_config_file(int balancer, const std::vector<int>& members) {
-  BalancerAddresses at{.listen = addresses_.balancer(0, balancer).text(),
-                       .discovery = addresses_.discovery(0, balancer).text(),
-                       .datagrams = addresses_.datagrams(balancer).text(),
-                       .peers = {}};
+  BalancerAddresses balancer_addresses{.listen = addresses_.balancer(0, balancer).text(),
+                                       .discovery = addresses_.discovery(0, balancer).text(),
+                                       .datagrams = addresses_.datagrams(balancer).text(),
+                                       .peers = {}};
   for (int peer = 0; peer < experiment_.tiers.front().balancers; ++peer)
-    at.peers.push_back(peer == balancer ? at.datagrams : addresses_.peer(balancer, peer).text());
+    balancer_addresses.peers.push_back(peer == balancer ? balancer_addresses.datagrams
+                                                        : addresses_.peer(balancer, peer).text());
   auto path = folder_ + "/" + balancer_name(balancer) + ".toml";
-  std::ofstream(path) << balancer_config_toml(experiment_, build_, balancer, seed_, at, members);
+  std::ofstream(path) << balancer_config_toml(experiment_, build_, balancer, seed_, balancer_addresses,
+                                              members);
   return path;
 }
 
@@ -79,7 +81,7 @@
   for (auto& balancer : balancers_) balancer.process.start();
   for (auto& balancer : balancers_) {
     auto address = addresses_.balancer(balancer.tier, balancer.balancer);
-    if (!becomes_ready(address, ready_timeout_ms, balancer.process))
+    if (!wait_until_ready(address, ready_timeout_ms, balancer.process))
       throw std::runtime_error(build_.program + " did not become ready within " +
                                std::to_string(static_cast<int>(ready_timeout_ms)) + " ms; see " +
                                balancer.process.log());
@@ -100,7 +102,7 @@
 void BalancerProcesses::apply(Balancer& balancer, const Action& action, double begin_ms, double now_ms,
                               const AvailabilitySink& on_availability) {
   auto signal = balancer.lifecycle.apply(action, begin_ms, now_ms);
-  // The file must be complete before SIGHUP makes the process read it.
+  // The file must be written completely before SIGHUP makes the process read it.
   if (signal == Signal::reload && experiment_.fleet && balancer.tier == 0)
     write_config_file(balancer.balancer, experiment_.faults[static_cast<std::size_t>(action.value)].members);
   record_pause(balancer, signal, now_ms);
--- a/src/testbed/checker.hpp
+++ b/src/testbed/checker.hpp
@@ -1,5 +1,5 @@
-// The checker: compares the history of a run with the rules that the balancers were configured to keep, and
-// gives a verdict by rule. Values only; it shares no code with the balancer under test.
+// The checker compares the history of a run with the rules that the balancers were configured to keep and
+// reports the violations of each rule. It does no I/O and shares no code with the balancer under test.
 #pragma once
 
 #include <array>
@@ -13,40 +13,44 @@
 
 namespace meadowgauge::testbed {
 
-// A limit over all balancers: over any window of W ms at most `rate * W / 1000 + burst` requests are
-// admitted.
+// A request rate limit for all balancers together: in any window of W ms they admit at most
+// `rate * W / 1000 + burst` requests.
 struct FleetLimit {
-  std::string tenant{}, request_class{};  // empty: all
+  std::string tenant{}, request_class{};  // names; empty: the limit covers all of them
   double rate = 0, burst = 0;             // requests a second; requests
 };
 
+// Where a server runs, which decides with which servers it shares a deduplication cache.
 struct ServerPlacement {
-  int zone = 0, block = -1;  // servers of one block share their deduplication cache; -1: shares with none
+  // Servers of one block share a deduplication cache; block -1: the server shares with none.
+  int zone = 0, block = -1;
 };
 
-// The part of the balancers' configuration that the rules depend on.
+// The part of the balancers' configuration on which the rules depend.
 struct Contract {
   std::vector<RequestClassSpec> request_classes;
-  double drain_grace_ms = 400;  // after a drain notification
-  double slack_ms = 50;         // covers scheduling of the testbed itself
-  // The most that a client's own delay, in writing a request or in reading its response, counts for.
+  double drain_grace_ms = 400;  // requests may still reach a server this long after a drain notification
+  double slack_ms = 50;         // tolerance for scheduling delays of the testbed itself
+  // The maximum delay, in writing a request or in reading its response, that is attributed to the client.
   double max_client_delay_ms = 500;
-  std::vector<std::vector<ServerPlacement>> servers;  // by tier
+  std::vector<std::vector<ServerPlacement>> servers;  // by tier and server
   std::vector<std::string> tenants{};
   std::vector<FleetLimit> limits{};
-  // The maximum between a request's admission and its first byte at a server.
+  // The maximum time between a request's admission and the arrival of its first byte at a server.
   double admission_to_server_ms = 100;
 };
 
-// Requests admitted under a fleet limit: each request's first attempt at the first tier, from the servers'
-// records.
+// The requests admitted under a fleet limit, from the servers' records. Each attempt of a client counts once,
+// when its first byte reaches a server of the first tier.
 struct AdmissionHistory {
-  std::vector<std::pair<double, int>> events;  // time in ms and balancer, in order of time
-  double max_excess = 0;    // requests over the bound in the worst window; kept if at most 0
-  double excess_at_ms = 0;  // the end of that window
+  std::vector<std::pair<double, int>> events;  // time in ms and balancer, sorted by time
+  double max_excess = 0;    // requests above the limit in the worst window; at most 0: the limit was kept
+  double excess_at_ms = 0;  // end of the worst window
 };
+// Returns the admissions that count against `limit`, and the worst excess over it.
 AdmissionHistory admission_history(const History& history, const Contract& contract, const FleetLimit& limit);
 
+// The rules that the checker verifies.
 enum class Rule : std::uint8_t {
   no_request_lost,
   no_duplicate_effect,
@@ -56,32 +60,35 @@
   fleet_limits_kept
 };
 inline constexpr int rule_count = 6;
-// The rule's name in reports and in the JSON metrics, where it is a key.
+// Returns the rule's name, which is printed in reports and is a key of the JSON metrics.
 std::string_view rule_name(Rule rule);
 
+// One event that breaks a rule.
 struct Violation {
   Rule rule;
   double at_ms = 0;
-  std::string description;  // one line with the ids
+  std::string description;  // one line, with the ids of the attempt, server or balancer
 };
 
-// A client wrote a request, or read its response, so late that by its clock alone the response was late.
+// A response that was late only by the client's clock, because the client wrote the request or read the
+// response late.
 struct ClientDelay {
-  std::string id;             // of the attempt
-  double write_delay_ms = 0;  // from the clock reading for its time budget to the request's last byte
-  double read_delay_ms = 0;   // from the response's arrival in the kernel to the turn that read it
+  std::string id;             // ID of the attempt
+  double write_delay_ms = 0;  // from the clock reading that set the time budget to writing the last byte
+  double read_delay_ms = 0;   // from the response's arrival in the kernel to the loop turn that read it
 };
 
+// The result of checking one run.
 struct Verdict {
-  std::vector<Violation> violations;              // in order of time
-  std::array<std::uint64_t, rule_count> count{};  // by rule
-  std::uint64_t excused = 0;  // attempts lost with a balancer that the experiment killed or paused
-  std::vector<ClientDelay> client_delays;  // responses in time that only the client made late
+  std::vector<Violation> violations;              // sorted by time
+  std::array<std::uint64_t, rule_count> count{};  // violations by rule
+  std::uint64_t excused = 0;  // attempts lost because the experiment killed or paused their balancer
+  std::vector<ClientDelay> client_delays;  // responses on time except for the client's own delay
   [[nodiscard]] bool kept() const { return violations.empty(); }
   [[nodiscard]] bool kept(Rule rule) const { return count[static_cast<int>(rule)] == 0; }
 };
 
-// Checks all rules. The history must be complete: attempts that have not ended count as timed out.
+// Checks all rules. The run must have ended: attempts without an end count as timed out.
 Verdict check_history(const History& history, const Contract& contract);
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/commands.cpp
+++ b/src/testbed/commands.cpp
@@ -22,6 +22,7 @@
 
 bool is_executable(const std::string& path) { return access(path.c_str(), X_OK) == 0; }
 
+// Finds a build by its name in the experiment, `direct`, or the path of a program.
 BuildSpec find_build(const Experiment& experiment, const std::string& name) {
   for (const auto& build : experiment.builds)
     if (build.name == name) return build;
@@ -31,7 +32,7 @@
   throw UsageError(experiment.file + " has no build " + name + ", and no program has this path");
 }
 
-// Finds a build and checks that its program is executable, before anything is started.
+// Finds a build and checks that its program is executable, so that no run starts with a missing program.
 BuildSpec require_build(const Experiment& experiment, const std::string& name) {
   auto build = find_build(experiment, name);
   if (!build.program.empty() && !is_executable(build.program))
@@ -39,6 +40,7 @@
   return build;
 }
 
+// Finds the named builds; without names, the experiment's first build.
 std::vector<BuildSpec> require_builds(const Experiment& experiment, const std::vector<std::string>& names) {
   if (names.empty()) return {require_build(experiment, experiment.builds.front().name)};
   std::vector<BuildSpec> builds;
@@ -52,7 +54,7 @@
   if (!(out << text)) throw std::runtime_error("cannot write " + path);
 }
 
-// Runs an experiment and keeps its reports.
+// The runs of one command: runs experiments and collects their reports.
 class Session {
  public:
   explicit Session(const CommandOptions& options) : options_(options) {}
@@ -61,6 +63,7 @@
   [[nodiscard]] bool rules_kept() const { return rules_kept_; }
   [[nodiscard]] int exit_status() const { return rules_kept_ ? 0 : exit_rule_violated; }
 
+  // Runs the experiment once and returns its report, without keeping it.
   Report run(const Experiment& experiment, const BuildSpec& build, std::uint64_t seed) {
     RunOptions run;
     run.folder = options_.folder + "/" + std::filesystem::path(build.name).filename().string() + "-" +
@@ -69,7 +72,9 @@
     run.stop_requested = [this] { return stopped(); };
     bool show_progress = !options_.quiet && isatty(STDERR_FILENO) != 0;
     if (show_progress)
-      run.on_progress = [&](const RunProgress& progress) { print(experiment, build, seed, progress); };
+      run.on_progress = [&](const RunProgress& progress) {
+        print_progress(experiment, build, seed, progress);
+      };
     auto result = run_experiment(experiment, build, seed, run);
     if (show_progress) std::cerr << "\r\033[K";
     Report report{build.name, seed, compute_metrics(experiment, result)};
@@ -91,8 +96,8 @@
   }
 
  private:
-  static void print(const Experiment& experiment, const BuildSpec& build, std::uint64_t seed,
-                    const RunProgress& progress) {
+  static void print_progress(const Experiment& experiment, const BuildSpec& build, std::uint64_t seed,
+                             const RunProgress& progress) {
     std::cerr << "\r" << experiment.name << " " << build.name << " seed " << seed << ": "
               << static_cast<long>(std::max(0.0, progress.at_ms) / 1000) << " of " << experiment.seconds
               << " s, sent " << progress.sent << ", answered " << progress.answered << ", succeeded "
@@ -104,6 +109,7 @@
   std::vector<Report> reports_;
 };
 
+// Sets the swept parameter of an experiment. Throws UsageError for an unknown parameter or a value below 1.
 void set_parameter(Experiment& experiment, const std::string& parameter, const std::string& text) {
   double value = std::atof(text.c_str());
   if (parameter == "rate")
@@ -131,8 +137,9 @@
               value.c_str(), requests / seconds, metrics.goodput,
               100 * static_cast<double>(metrics.rejected) / requests,
               100 * static_cast<double>(metrics.failed + metrics.unserved + metrics.late) / requests,
-              metrics.latency.quantile(0.5), metrics.latency.quantile(0.99), metrics.balancer_us,
-              metrics.load_us, metrics.send_delay_p99_ms, metrics.verdict.kept() ? "" : "  rule violated");
+              metrics.latency.quantile(0.5), metrics.latency.quantile(0.99), metrics.balancer_cpu_us,
+              metrics.load_generator_cpu_us, metrics.send_delay_p99_ms,
+              metrics.verdict.kept() ? "" : "  rule violated");
   std::fflush(stdout);
 }
 
@@ -161,12 +168,12 @@
   Session session(options);
   for (int round = 0; round < experiment.repetitions; ++round)
     for (std::size_t i = 0; i < options.seeds.size(); ++i) {
-      // Alternates which build of a pair runs first, so that a drift of the machine favours neither.
-      bool swapped = (i + static_cast<std::size_t>(round)) % 2 == 1;
-      for (bool second : {swapped, !swapped}) {
+      // Alternates which build of a pair runs first, so that a drift in the machine's speed favours neither.
+      bool b_first = (i + static_cast<std::size_t>(round)) % 2 == 1;
+      for (bool runs_b : {b_first, !b_first}) {
         if (session.stopped()) return exit_stopped;
-        const auto& report = session.run_and_print(experiment, second ? b : a, options.seeds[i]);
-        (second ? metrics_b : metrics_a).push_back(report.metrics);
+        const auto& report = session.run_and_print(experiment, runs_b ? b : a, options.seeds[i]);
+        (runs_b ? metrics_b : metrics_a).push_back(report.metrics);
       }
     }
   std::cout << difference_table(build_a, build_b, differences(metrics_a, metrics_b));
--- a/src/testbed/comparison.cpp
+++ b/src/testbed/comparison.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
+// A compared metric: how it is shown, and its value in a run.
 struct Metric {
   const char *name, *unit;
-  double (*of)(const RunMetrics&);
+  double (*value_of)(const RunMetrics&);
 };
 
-// The mean over all faults, in seconds. Without a recovery the rest of the run counts.
+// Returns the mean recovery time over all faults. A fault without recovery counts with the rest of the run.
 double mean_recovery_s(const RunMetrics& metrics) {
   if (metrics.recoveries.empty()) return 0;
   const double run_ms = static_cast<double>(metrics.slices.size()) * metrics.slice_ms;
@@ -25,7 +26,7 @@
   return sum_s / static_cast<double>(metrics.recoveries.size());
 }
 
-constexpr auto compared = std::to_array<Metric>({
+constexpr auto compared_metrics = std::to_array<Metric>({
     {"weighted success", "", [](const RunMetrics& metrics) { return metrics.weighted_success; }},
     {"weighted success, worst", "", [](const RunMetrics& metrics) { return metrics.worst_weighted_success; }},
     {"within objective", "%",
@@ -50,7 +51,7 @@
      [](const RunMetrics& metrics) {
        return metrics.limits.empty() ? 0 : metrics.limits.front().max_excess;
      }},
-    {"balancer CPU", "us/request", [](const RunMetrics& metrics) { return metrics.balancer_us; }},
+    {"balancer CPU", "us/request", [](const RunMetrics& metrics) { return metrics.balancer_cpu_us; }},
     {"violations", "",
      [](const RunMetrics& metrics) { return static_cast<double>(metrics.verdict.violations.size()); }},
 });
@@ -61,17 +62,17 @@
   auto count = static_cast<double>(pairs);
   Difference difference{.name = metric.name, .unit = metric.unit, .pairs = pairs};
   for (std::size_t i = 0; i < pairs; ++i) {
-    difference.a += metric.of(a[i]) / count;
-    difference.b += metric.of(b[i]) / count;
+    difference.a += metric.value_of(a[i]) / count;
+    difference.b += metric.value_of(b[i]) / count;
   }
   difference.mean = difference.b - difference.a;
   if (pairs < 2) return difference;
-  double squares = 0;
+  double sum_of_squares = 0;
   for (std::size_t i = 0; i < pairs; ++i) {
-    double deviation = metric.of(b[i]) - metric.of(a[i]) - difference.mean;
-    squares += deviation * deviation;
+    double deviation = metric.value_of(b[i]) - metric.value_of(a[i]) - difference.mean;
+    sum_of_squares += deviation * deviation;
   }
-  difference.spread = std::sqrt(squares / (count - 1));
+  difference.spread = std::sqrt(sum_of_squares / (count - 1));
   difference.error = difference.spread / std::sqrt(count);
   return difference;
 }
@@ -80,8 +81,8 @@
 
 std::vector<Difference> differences(const std::vector<RunMetrics>& a, const std::vector<RunMetrics>& b) {
   std::vector<Difference> all;
-  all.reserve(compared.size());
-  for (const auto& metric : compared) all.push_back(difference_of(metric, a, b));
+  all.reserve(compared_metrics.size());
+  for (const auto& metric : compared_metrics) all.push_back(difference_of(metric, a, b));
   return all;
 }
 
--- a/src/testbed/comparison.hpp
+++ b/src/testbed/comparison.hpp
@@ -1,4 +1,4 @@
-// Two builds on the same seeds: the difference of each metric, its mean and its spread over the pairs.
+// Compares two builds on the same seeds: the mean and the spread of each metric's difference over the pairs.
 #pragma once
 
 #include <cstddef>
@@ -9,18 +9,19 @@
 
 namespace meadowgauge::testbed {
 
+// The difference of one metric between builds `a` and `b`.
 struct Difference {
   std::string name, unit;
-  double a = 0, b = 0;  // means of each build
-  double mean = 0;      // of b - a
-  double spread = 0;    // of b - a, as the standard deviation
-  double error = 0;     // the standard error of the mean
+  double a = 0, b = 0;  // mean of each build
+  double mean = 0;      // mean of b - a
+  double spread = 0;    // standard deviation of b - a
+  double error = 0;     // standard error of the mean
   std::size_t pairs = 0;
 };
 
-// The difference of each metric. Runs are paired by index; unpaired runs are ignored.
+// Returns the difference of each metric. Runs are paired by index; unpaired runs are ignored.
 std::vector<Difference> differences(const std::vector<RunMetrics>& a, const std::vector<RunMetrics>& b);
-// A table for people, with the names of the builds.
+// Returns a text table of the differences, with the names of the builds in its head.
 std::string difference_table(const std::string& name_a, const std::string& name_b,
                              const std::vector<Difference>& differences);
 
--- a/src/testbed/experiment.cpp
+++ b/src/testbed/experiment.cpp
@@ -9,7 +9,7 @@
 namespace meadowgauge::testbed {
 
 namespace {
-constexpr double checker_slack_ms = 50;  // scheduling delay of the testbed on a loaded machine
+constexpr double checker_slack_ms = 50;  // maximum scheduling delay of the testbed on a loaded machine
 }
 
 std::vector<int> Experiment::targets_of(std::size_t fault_index, std::uint64_t seed) const {
@@ -23,8 +23,8 @@
     return fault.kind == FaultSpec::Kind::rolling_restart ? drawn : std::vector<int>{0};
   Rng rng(mixed(seed, "fault", fault_index));
   std::shuffle(drawn.begin(), drawn.end(), rng);
-  int hit = std::clamp(static_cast<int>(std::lround(fault.drawn_share * count)), 1, count);
-  drawn.resize(static_cast<std::size_t>(hit));
+  int drawn_count = std::clamp(static_cast<int>(std::lround(fault.drawn_share * count)), 1, count);
+  drawn.resize(static_cast<std::size_t>(drawn_count));
   return drawn;
 }
 
--- a/src/testbed/experiment_reader.cpp
+++ b/src/testbed/experiment_reader.cpp
@@ -1,5 +1,5 @@
-// Reads an experiment file: each table into its struct, then the checks across tables. The keys are the
-// users' interface and keep their names; the structs use the field's terms.
+// Reads an experiment file: each table into its struct, then the checks between tables. The keys are an
+// interface for users and do not change; the structs use the usual terms of load balancing.
 #include <set>
 #include <sstream>
 
@@ -18,7 +18,7 @@
 constexpr double max_ms = max_run_s * 1000;
 constexpr int max_server_number = 100000;
 // In the order of FaultSpec::Kind.
-const std::initializer_list<std::string_view> fault_words = {"kill",
+const std::initializer_list<std::string_view> fault_names = {"kill",
                                                              "roll",
                                                              "drain",
                                                              "slow",
@@ -39,7 +39,7 @@
   ms = seconds * 1000;
 }
 
-// Reads a list whose items are "N" or "N-M".
+// Reads a list of numbers and ranges, "N" or "N-M", as the numbers that it names.
 std::vector<int> read_numbers(Reader& r, std::string_view key) {
   std::vector<std::string> texts;
   std::vector<int> numbers;
@@ -61,6 +61,7 @@
   return numbers;
 }
 
+// Reads the share of traffic of each zone.
 std::vector<double> read_zone_shares(Reader& r) {
   std::vector<std::string> texts;
   std::vector<double> shares;
@@ -178,18 +179,18 @@
   r.each("phases", [&](Reader& p) { traffic.phases.push_back(read_phase(p)); });
 }
 
-void read_clients(Reader& r, Experiment& e) {
-  r.get("retries", e.retries.max_retries, 0, 100);
-  r.get("backoff_ms", e.retries.backoff_ms, 0, max_ms);
-  r.get("heed_advice", e.retries.honor_retry_after);
-  r.get("after_errors", e.retries.retry_failures);
-  r.get("marked", e.retries.mark_retries);
-  r.get("connections", e.connections, 0, 100000);
-  r.get("fresh_connections", e.connection_per_request);
-  r.get("most_connections", e.max_connections, 1, 100000);
-  r.get("workers", e.workers, 1, 64);
-  e.traffic.zones = read_zone_shares(r);
-  r.each("moves", [&](Reader& m) { e.traffic.zone_changes.push_back(read_zone_change(m)); });
+void read_clients(Reader& r, Experiment& experiment) {
+  r.get("retries", experiment.retries.max_retries, 0, 100);
+  r.get("backoff_ms", experiment.retries.backoff_ms, 0, max_ms);
+  r.get("heed_advice", experiment.retries.honor_retry_after);
+  r.get("after_errors", experiment.retries.retry_failures);
+  r.get("marked", experiment.retries.mark_retries);
+  r.get("connections", experiment.connections, 0, 100000);
+  r.get("fresh_connections", experiment.connection_per_request);
+  r.get("most_connections", experiment.max_connections, 1, 100000);
+  r.get("workers", experiment.workers, 1, 64);
+  experiment.traffic.zones = read_zone_shares(r);
+  r.each("moves", [&](Reader& m) { experiment.traffic.zone_changes.push_back(read_zone_change(m)); });
 }
 
 void read_limits(Reader& r, BalancerLimitsSpec& limits) {
@@ -264,7 +265,7 @@
 FaultSpec read_fault(Reader& r, double run_ms) {
   FaultSpec fault;
   r.need("what");
-  r.choose("what", fault.kind, fault_words);
+  r.choose("what", fault.kind, fault_names);
   r.need("at");
   read_seconds(r, "at", fault.at_ms);
   read_seconds(r, "for", fault.for_ms);
@@ -295,52 +296,54 @@
   return injections;
 }
 
-void read_seeds(Reader& r, Experiment& e) {
+void read_seeds(Reader& r, Experiment& experiment) {
   int count = 1;
   r.get("seeds", count, 1, 1000);
   std::uint64_t first = 1;
   r.get("first_seed", first);
-  e.seeds.clear();
-  for (int i = 0; i < count; ++i) e.seeds.push_back(first + static_cast<std::uint64_t>(i));
+  experiment.seeds.clear();
+  for (int i = 0; i < count; ++i) experiment.seeds.push_back(first + static_cast<std::uint64_t>(i));
 }
 
-void read_builds(Reader& r, Experiment& e) {
+void read_builds(Reader& r, Experiment& experiment) {
   std::set<std::string> names;
   r.each("builds", [&](Reader& b) {
     auto build = read_build(b);
     if (!names.insert(build.name).second) b.wrong("name", "is used twice: " + build.name);
-    e.builds.push_back(std::move(build));
+    experiment.builds.push_back(std::move(build));
   });
-  if (e.builds.empty())
-    e.builds.push_back({.name = "module", .program = "build/meadowgauge", .args = {}, .settings = {}});
+  if (experiment.builds.empty())
+    experiment.builds.push_back(
+        {.name = "module", .program = "build/meadowgauge", .args = {}, .settings = {}});
 }
 
-void read_experiment(Reader& r, Experiment& e) {
-  r.get("name", e.name);
-  r.get("about", e.about);
-  r.get("seconds", e.seconds, 0.1, max_run_s);
-  read_seeds(r, e);
-  r.get("repetitions", e.repetitions, 1, 1000);
-  r.get("recovered_share", e.recovered_share, 0, 1);
-  r.get("recovered_tail", e.recovered_tail, 0, 100);
-  r.get("drain_grace_ms", e.drain_grace_ms, 0, max_ms);
-  r.get("front_notices_ms", e.front_detection_delay_ms, 0, max_ms);
+void read_experiment(Reader& r, Experiment& experiment) {
+  r.get("name", experiment.name);
+  r.get("about", experiment.about);
+  r.get("seconds", experiment.seconds, 0.1, max_run_s);
+  read_seeds(r, experiment);
+  r.get("repetitions", experiment.repetitions, 1, 1000);
+  r.get("recovered_share", experiment.recovered_share, 0, 1);
+  r.get("recovered_tail", experiment.recovered_tail, 0, 100);
+  r.get("drain_grace_ms", experiment.drain_grace_ms, 0, max_ms);
+  r.get("front_notices_ms", experiment.front_detection_delay_ms, 0, max_ms);
   r.need("tiers");
-  r.each("tiers", [&](Reader& t) { e.tiers.push_back(read_tier(t)); });
+  r.each("tiers", [&](Reader& t) { experiment.tiers.push_back(read_tier(t)); });
   r.need("path_prefixes");
-  r.each("path_prefixes", [&](Reader& p) { e.request_classes.push_back(read_request_class(p)); });
-  r.each("tenants", [&](Reader& t) { e.tenants.push_back(read_tenant(t)); });
-  if (e.tenants.empty()) e.tenants.push_back({"acme", 1, 0});
-  r.table("traffic", [&](Reader& t) { read_traffic(t, e.traffic); });
-  r.table("clients", [&](Reader& c) { read_clients(c, e); });
-  r.table("limits", [&](Reader& l) { read_limits(l, e.limits); });
-  read_builds(r, e);
-  r.each("faults", [&](Reader& f) { e.faults.push_back(read_fault(f, e.ms())); });
-  if (r.has("fleet")) r.table("fleet", [&](Reader& f) { read_fleet(f, e.fleet.emplace()); });
-  r.each("letters", [&](Reader& l) { e.datagram_faults.push_back(read_datagram_fault(l, e.ms())); });
-  if (!e.datagram_faults.empty() && !e.fleet) r.wrong("letters", "need a [fleet]");
-  e.injections = read_injections(r);
-  validate(r, e);
+  r.each("path_prefixes", [&](Reader& p) { experiment.request_classes.push_back(read_request_class(p)); });
+  r.each("tenants", [&](Reader& t) { experiment.tenants.push_back(read_tenant(t)); });
+  if (experiment.tenants.empty()) experiment.tenants.push_back({"acme", 1, 0});
+  r.table("traffic", [&](Reader& t) { read_traffic(t, experiment.traffic); });
+  r.table("clients", [&](Reader& c) { read_clients(c, experiment); });
+  r.table("limits", [&](Reader& l) { read_limits(l, experiment.limits); });
+  read_builds(r, experiment);
+  r.each("faults", [&](Reader& f) { experiment.faults.push_back(read_fault(f, experiment.ms())); });
+  if (r.has("fleet")) r.table("fleet", [&](Reader& f) { read_fleet(f, experiment.fleet.emplace()); });
+  r.each("letters",
+         [&](Reader& l) { experiment.datagram_faults.push_back(read_datagram_fault(l, experiment.ms())); });
+  if (!experiment.datagram_faults.empty() && !experiment.fleet) r.wrong("letters", "need a [fleet]");
+  experiment.injections = read_injections(r);
+  validate(r, experiment);
   r.end();
 }
 
@@ -354,25 +357,25 @@
 }  // namespace
 
 std::string FaultSpec::text() const {
-  std::string text(fault_words.begin()[static_cast<int>(kind)]);
+  std::string text(fault_names.begin()[static_cast<int>(kind)]);
   return tier > 0 ? text + " in tier " + std::to_string(tier) : text;
 }
 
 Experiment Experiment::read(const settings::Node& file, const std::string& name,
                             std::vector<Problem>& problems) {
-  Experiment e;
-  e.file = name;
-  e.name = base_name(name);
+  Experiment experiment;
+  experiment.file = name;
+  experiment.name = base_name(name);
   Reader reader(file, "", problems);
-  read_experiment(reader, e);
-  return e;
+  read_experiment(reader, experiment);
+  return experiment;
 }
 
 Experiment Experiment::read(const std::string& path) {
   std::vector<Problem> problems;
-  auto e = read(settings::read_file(path), path, problems);
+  auto experiment = read(settings::read_file(path), path, problems);
   settings::throw_first_problem(path, std::move(problems));
-  return e;
+  return experiment;
 }
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/experiment_validation.cpp
+++ b/src/testbed/experiment_validation.cpp
@@ -9,55 +9,57 @@
 
 namespace {
 
-constexpr double max_attempts = 5e6;  // bounds the memory of the recorded history
+constexpr double max_attempts = 5e6;  // limits the memory used by the recorded history
 constexpr std::size_t max_tiers = 6;
 
-void check_downstream_calls(Reader& r, const Experiment& e) {
-  bool any_calls = false;
-  for (const auto& spec : e.request_classes) {
+void check_downstream_calls(Reader& reader, const Experiment& experiment) {
+  bool has_calls = false;
+  for (const auto& spec : experiment.request_classes) {
     if (spec.downstream_calls == 0) continue;
-    any_calls = true;
-    if (std::none_of(e.request_classes.begin(), e.request_classes.end(),
+    has_calls = true;
+    if (std::none_of(experiment.request_classes.begin(), experiment.request_classes.end(),
                      [&](const auto& other) { return other.name == spec.downstream_class; }))
-      r.wrong("path_prefixes", "calls an undefined path prefix: " + spec.downstream_class);
+      reader.wrong("path_prefixes", "calls an undefined path prefix: " + spec.downstream_class);
   }
-  if (any_calls && e.tiers.size() < 2) r.wrong("tiers", "need a second tier, which a path prefix calls");
+  if (has_calls && experiment.tiers.size() < 2)
+    reader.wrong("tiers", "need a second tier, because a path prefix has calls");
 }
 
-void check_fault_targets(Reader& r, const Experiment& e) {
-  for (const auto& fault : e.faults) {
-    if (fault.tier >= static_cast<int>(e.tiers.size())) {
-      r.wrong("faults", "name an undefined tier");
+void check_fault_targets(Reader& reader, const Experiment& experiment) {
+  for (const auto& fault : experiment.faults) {
+    if (fault.tier >= static_cast<int>(experiment.tiers.size())) {
+      reader.wrong("faults", "name an undefined tier");
       continue;
     }
-    const auto& tier = e.tiers[static_cast<std::size_t>(fault.tier)];
+    const auto& tier = experiment.tiers[static_cast<std::size_t>(fault.tier)];
     int count = fault.targets_balancers() ? tier.balancers : tier.servers;
     for (int target : fault.targets)
       if (target >= count)
-        r.wrong("faults",
-                "name target " + std::to_string(target) + ", but the tier has " + std::to_string(count));
+        reader.wrong("faults",
+                     "name target " + std::to_string(target) + ", but the tier has " + std::to_string(count));
   }
 }
 
-void check_injections(Reader& r, const Experiment& e) {
-  if (!e.injections.empty() &&
-      std::none_of(e.tiers.begin(), e.tiers.end(), [](const auto& tier) { return tier.relays; }))
-    r.wrong("strikes", "need a tier with relays = true");
-  if (e.injections.size() > InjectionPlan::max_entries)
-    r.wrong("strikes", "exceed the maximum of " + std::to_string(InjectionPlan::max_entries));
+void check_injections(Reader& reader, const Experiment& experiment) {
+  if (!experiment.injections.empty() && std::none_of(experiment.tiers.begin(), experiment.tiers.end(),
+                                                     [](const auto& tier) { return tier.relays; }))
+    reader.wrong("strikes", "need a tier with relays = true");
+  if (experiment.injections.size() > InjectionPlan::max_entries)
+    reader.wrong("strikes", "exceed the maximum of " + std::to_string(InjectionPlan::max_entries));
 }
 
 }  // namespace
 
-void validate(Reader& r, const Experiment& e) {
-  check_downstream_calls(r, e);
-  if (e.tiers.size() > max_tiers) r.wrong("tiers", "exceed the maximum of " + std::to_string(max_tiers));
-  check_fault_targets(r, e);
-  check_injections(r, e);
-  if (e.request_classes.empty()) r.wrong("path_prefixes", "must not be empty");
-  if (e.tiers.empty()) r.wrong("tiers", "must not be empty");
-  if (e.traffic.rate * e.seconds * (1 + e.retries.max_retries) > max_attempts)
-    r.wrong("traffic", "exceeds 5 million attempts");
+void validate(Reader& reader, const Experiment& experiment) {
+  check_downstream_calls(reader, experiment);
+  if (experiment.tiers.size() > max_tiers)
+    reader.wrong("tiers", "exceed the maximum of " + std::to_string(max_tiers));
+  check_fault_targets(reader, experiment);
+  check_injections(reader, experiment);
+  if (experiment.request_classes.empty()) reader.wrong("path_prefixes", "must not be empty");
+  if (experiment.tiers.empty()) reader.wrong("tiers", "must not be empty");
+  if (experiment.traffic.rate * experiment.seconds * (1 + experiment.retries.max_retries) > max_attempts)
+    reader.wrong("traffic", "exceeds 5 million attempts");
 }
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/experiment_validation.hpp
+++ b/src/testbed/experiment_validation.hpp
@@ -1,4 +1,4 @@
-// Checks of an experiment across its tables.
+// Consistency checks between the tables of an experiment file.
 #pragma once
 
 #include "settings/tree.hpp"
@@ -6,7 +6,7 @@
 
 namespace meadowgauge::testbed {
 
-// Appends inconsistencies to the problems of `reader`, which reads the file's top table.
+// Reports each inconsistency as a problem of `reader`, the reader of the file's top-level table.
 void validate(settings::Reader& reader, const Experiment& experiment);
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/fault_relay.cpp
+++ b/src/testbed/fault_relay.cpp
@@ -37,10 +37,12 @@
     injections.push_back(std::get<FaultInjection>(std::move(parsed)));
   }
   if (injections.size() > InjectionPlan::max_entries)
-    throw std::runtime_error("more than " + std::to_string(InjectionPlan::max_entries) + " faults");
+    throw std::runtime_error("more than the maximum of " + std::to_string(InjectionPlan::max_entries) +
+                             " faults");
   return injections;
 }
 
+// Returns a line that describes an injected fault.
 std::string describe(const InjectionPlan& plan, const InjectedFault& fault) {
   const auto* injection = plan.find(fault.entry);
   return "connection " + std::to_string(fault.connection) + ", way " +
@@ -49,21 +51,21 @@
          (injection ? injection->text() : "cleared since");
 }
 
-// Answers the commands of the control socket.
-class Commands {
+// Handles the commands of the command socket.
+class CommandHandler {
  public:
-  Commands(TestbedContext& context, InjectionPlan& plan, const Relay& relay, double begin_ms)
+  CommandHandler(TestbedContext& context, InjectionPlan& plan, const Relay& relay, double begin_ms)
       : context_(context), plan_(plan), relay_(relay), begin_ms_(begin_ms) {}
 
   std::string operator()(const std::string& line) {
-    // `strike` is the previous release's name of `inject`, accepted until the next one.
-    constexpr auto add_commands = std::to_array<std::string_view>({"inject ", "strike "});
+    // `strike` is the name of `inject` in the previous release; it is accepted until the next release.
+    constexpr auto inject_prefixes = std::to_array<std::string_view>({"inject ", "strike "});
     if (line == "clear") {
       plan_.clear();
       return "ok\n";
     }
     if (line == "status") return status();
-    for (auto command : add_commands)
+    for (auto command : inject_prefixes)
       if (line.starts_with(command)) return add(std::string_view(line).substr(command.size()));
     return "no: unknown command, use inject, clear or status\n";
   }
@@ -77,7 +79,8 @@
     return text + "ok\n";
   }
 
-  // Shifts the fault's times: they count from now, those of the plan from the begin.
+  // Adds a fault to the plan. A command's times count from now and the plan's from the relay's start, so the
+  // times are shifted.
   std::string add(std::string_view text) {
     auto parsed = FaultInjection::parse(text);
     if (const auto* error = std::get_if<FaultInjectionError>(&parsed)) return "no: " + error->text() + "\n";
@@ -98,14 +101,14 @@
   double begin_ms_;
 };
 
-// Writes the faults injected after the first `written` ones, unless the relay has dropped their records.
-void write_new_faults(const Relay& relay, const InjectionPlan& plan, std::uint64_t& written,
+// Writes the injected faults that are not written yet, except those whose records the relay has dropped.
+void write_new_faults(const Relay& relay, const InjectionPlan& plan, std::uint64_t& written_count,
                       std::ostream& out) {
   const auto& injected = relay.injected();
-  auto fresh = std::min<std::uint64_t>(relay.injection_count() - written, injected.size());
-  for (auto i = injected.size() - fresh; i < injected.size(); ++i)
+  auto new_count = std::min<std::uint64_t>(relay.injection_count() - written_count, injected.size());
+  for (auto i = injected.size() - new_count; i < injected.size(); ++i)
     out << describe(plan, injected[i]) << std::endl;
-  written = relay.injection_count();
+  written_count = relay.injection_count();
 }
 
 }  // namespace
@@ -120,14 +123,14 @@
   Relay relay(context, listen, to, plan, context.now_ms);
   std::unique_ptr<CommandServer> control;
   if (control_at)
-    control =
-        std::make_unique<CommandServer>(context, *control_at, Commands(context, plan, relay, context.now_ms));
+    control = std::make_unique<CommandServer>(context, *control_at,
+                                              CommandHandler(context, plan, relay, context.now_ms));
   out << "relays " << relay.address().text() << " to " << to.text();
   if (control) out << ", commands at " << control->address().text();
   out << std::endl;
-  std::uint64_t written = 0;
+  std::uint64_t written_count = 0;
   context.run([&] {
-    write_new_faults(relay, plan, written, out);
+    write_new_faults(relay, plan, written_count, out);
     return stop.load();
   });
   return 0;
--- a/src/testbed/history.hpp
+++ b/src/testbed/history.hpp
@@ -1,6 +1,6 @@
-// The history of one run as both sides of the balancers recorded it: each attempt of a client, each request
-// that reached a server, each endpoint change that discovery sent. The checker takes its verdict from these
-// records alone. Values only; all times are milliseconds on the testbed's one clock.
+// The history of one run, recorded on both sides of the balancers: each attempt of a client, each request
+// that reached a server, each endpoint change that discovery sent. The checker uses these records only. All
+// times are milliseconds on the clock that all threads of the testbed share.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace meadowgauge::testbed {
 
-// Stands for the time of an event that has not happened.
+// The time of an event that has not happened.
 inline constexpr double never = std::numeric_limits<double>::infinity();
 
 // How an attempt ended for the client that made it.
@@ -22,37 +22,38 @@
   rejected,     // 429 or 503
   failed,       // any other status
   corrupted,    // 200 with a body that no server produced for this id
-  unreachable,  // no connection came up, or it broke before the last byte was written: nothing was accepted
-  keep_alive_race,  // a reused connection ended before any byte of a response: the close may have crossed the
-                    // request
+  unreachable,  // no connection was established, or it broke before the last byte of the request was written:
+                // the balancer has not accepted the request
+  keep_alive_race,  // a reused connection ended before the first byte of a response: the balancer may have
+                    // closed it while the request was on its way
   connection_lost,  // the connection ended without a complete response
   timed_out         // no complete response before the client gave up
 };
 
-// One attempt of a request, by a client or by a server of the tier before.
+// One attempt of a request, by a client or by a server of the previous tier.
 struct Attempt {
-  std::string id;             // on the wire, new with every attempt
-  std::uint64_t request = 0;  // the request it belongs to
-  int tier = 0, number = 1;   // which of the request's attempts, from 1
+  std::string id;             // on the wire, unique to the attempt
+  std::uint64_t request = 0;  // number of the request
+  int tier = 0, number = 1;   // tier called; number of the attempt within the request, from 1
   int request_class = 0, tenant = 0;
-  int balancer = -1;          // of the tier; -1: no connection was chosen
+  int balancer = -1;          // index in the tier; -1: no balancer was chosen
   double intended_ms = 0;     // scheduled send time
-  double written_ms = never;  // the last byte was written
-  double deadline_ms = 0;     // the client timeout expires
-  double ended_ms = never;    // by the clock reading at the begin of the client's turn
-  double received_by_ms = 0;  // a reading after the response's last byte; 0: there was no response
-  double arrived_ms = never;  // the kernel had the last bytes read of the response; `never`: not known
-  double write_delay_ms = 0;  // from the clock reading for the told time budget to the last byte written
-  double turn_late_ms = 0;    // how late, behind its due time, the client's turn began in which it ended
-  double turn_gap_ms = 0;     // since the begin of the turn before: the client had read all from before then
+  double written_ms = never;  // time of writing the last byte
+  double deadline_ms = 0;     // time when the client timeout expires
+  double ended_ms = never;    // clock reading at the start of the client's loop turn that ended it
+  double received_by_ms = 0;  // clock reading after the response's last byte; 0: no response
+  double arrived_ms = never;  // when the kernel received the response's last bytes; `never`: unknown
+  double write_delay_ms = 0;  // from the clock reading that set the time budget to writing the last byte
+  double turn_late_ms = 0;    // delay of the turn in which the attempt ended, after its due time
+  double turn_gap_ms = 0;     // since the start of the previous turn, which read all that had arrived
   Outcome outcome = Outcome::timed_out;
-  int status = 0;             // of the response; 0: none
-  double retry_after_ms = 0;  // from Retry-After
-  bool extra_bytes = false;   // bytes followed its complete response
-  bool last = true;           // no further attempt follows
+  int status = 0;             // of the response; 0: no response
+  double retry_after_ms = 0;  // from the Retry-After header; 0: none
+  bool extra_bytes = false;   // bytes followed the complete response
+  bool last = true;           // no further attempt of the request follows
 };
 
-// One request's passage through one server, as that server recorded it.
+// One request at one server, as recorded by the server.
 struct ServerRecord {
   enum class Result : std::uint8_t {
     incomplete,  // not all of the request arrived
@@ -61,15 +62,15 @@
     failed,      // answered with an error; the caller must assume execution
     queued,      // accepted, not started
     abandoned,   // accepted, and its connection ended before it started
-    executed     // started: the effect has taken place
+    executed     // started, so the request has taken effect
   };
   std::string id, key;
-  int tier = 0, server = 0, incarnation = 0;  // which of the server's starts
+  int tier = 0, server = 0, incarnation = 0;  // incarnation: number of the server's start
   int balancer = -1;
-  double first_byte_ms = 0, last_byte_ms = never;  // never: the request stayed incomplete
+  double first_byte_ms = 0, last_byte_ms = never;  // arrival of the request; `never`: incomplete
   Result result = Result::incomplete;
   double started_ms = never, answered_ms = never;
-  double turn_late_ms = 0;  // how late the turn began, behind its due time, in which the request was complete
+  double turn_late_ms = 0;  // delay of the turn in which the request became complete, after its due time
 };
 
 // Discovery has notified a balancer that a server drains, is removed, or is active again.
@@ -88,13 +89,13 @@
   double exited_ms = 0;  // when the process had exited
 };
 
-// A server that was overloaded while it warmed up, and crashed.
+// A server crashed because it was overloaded during its slow start.
 struct ServerCrash {
   int tier = 0, server = 0;
   double at_ms = 0;
 };
 
-// A balancer that the experiment paused with SIGSTOP.
+// The experiment paused a balancer with SIGSTOP.
 struct BalancerPause {
   int tier = 0, balancer = 0;
   double from_ms = 0, until_ms = never;
--- a/src/testbed/html_plot.cpp
+++ b/src/testbed/html_plot.cpp
@@ -19,6 +19,7 @@
 constexpr int value_steps = 4;
 constexpr int time_steps = 5;
 
+// Draws one plot; the arguments of the constructor outlive it.
 class Plot {
  public:
   Plot(const Experiment& experiment, const RunMetrics& metrics, const std::vector<Series>& series)
--- a/src/testbed/html_plot.hpp
+++ b/src/testbed/html_plot.hpp
@@ -1,4 +1,4 @@
-// A line plot as SVG for the HTML report: series over the time of the run, with shaded faults.
+// Line plots in SVG for the HTML report: series over the time of the run, with the faults as shaded areas.
 #pragma once
 
 #include <functional>
@@ -10,11 +10,13 @@
 
 namespace meadowgauge::testbed {
 
+// One line of a plot. `value` is called for each slice.
 struct Series {
   std::string name, colour;
   std::function<double(const Slice&)> value;
 };
 
+// Returns an SVG element. `unit` labels the value axis.
 std::string svg_plot(const Experiment& experiment, const RunMetrics& metrics, const std::string& title,
                      const std::string& unit, const std::vector<Series>& series);
 
--- a/src/testbed/load_generator.cpp
+++ b/src/testbed/load_generator.cpp
@@ -15,6 +15,7 @@
 
 namespace {
 
+// Returns the front balancer's group of each target.
 std::vector<int> groups_of(const std::vector<HttpClient::Target>& targets) {
   std::vector<int> groups;
   groups.reserve(targets.size());
@@ -22,6 +23,7 @@
   return groups;
 }
 
+// Returns the ID that an attempt carries on the wire.
 std::string request_id(std::uint64_t seed, std::uint64_t request, int attempt) {
   return formatted("v%llx-%llu.%d", printable(seed), printable(request), attempt);
 }
@@ -45,7 +47,7 @@
       timer_(timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC)) {
   if (!timer_) throw std::system_error(errno, std::generic_category(), "timerfd_create");
   timer_token_ = context_.loop.add(timer_.get(), *this, EPOLLIN);
-  // Reserves more than the scheduled requests, so that the vector doesn't grow under load.
+  // Reserves space for more than the scheduled requests, so that the vector does not reallocate under load.
   attempts_.reserve(
       static_cast<std::size_t>(experiment.traffic.rate * experiment.seconds * 1.2 / worker.count) + 1000);
   open_persistent_connections(worker.count);
@@ -56,25 +58,25 @@
 void LoadGenerator::open_persistent_connections(int workers) {
   if (experiment_.connections <= 0) return;
   auto zones = std::max<std::size_t>(experiment_.traffic.zones.size(), 1);
-  auto for_worker = static_cast<std::size_t>(experiment_.connections / workers);
+  auto worker_connections = static_cast<std::size_t>(experiment_.connections / workers);
   for (std::size_t zone = 0; zone < zones; ++zone)
-    client_.open_idle(static_cast<int>(zone), for_worker / zones);
+    client_.open_idle(static_cast<int>(zone), worker_connections / zones);
 }
 
 void LoadGenerator::begin(double begin_ms) {
   begin_ms_ = begin_ms;
   end_ms_ = begin_ms + experiment_.ms();
   next_arrival_ = traffic_.next();
-  begun_ = true;
-  arm();
+  has_begun_ = true;
+  arm_timer();
 }
 
 bool LoadGenerator::finished() const {
-  return begun_ && next_arrival_ms() >= end_ms_ && in_flight_ == 0 && retry_timers_.empty();
+  return has_begun_ && next_arrival_ms() >= end_ms_ && in_flight_ == 0 && retry_timers_.empty();
 }
 
-// Uses a timerfd, because epoll rounds its timeout up to a millisecond.
-void LoadGenerator::arm() {
+// Uses a timerfd, because epoll_wait rounds its timeout up to whole milliseconds.
+void LoadGenerator::arm_timer() {
   double at_ms = next_arrival_ms();
   if (at_ms >= end_ms_) return;
   double wait_ms = std::max(at_ms - context_.now_ms, 0.0);
@@ -112,7 +114,7 @@
     counts_.sent.fetch_add(1, std::memory_order_relaxed);
     next_arrival_ = traffic_.next();
   }
-  arm();
+  arm_timer();
 }
 
 void LoadGenerator::send(const Request& request, int attempt_number, double intended_ms) {
@@ -135,8 +137,8 @@
                        .deadline_ms = request.deadline_ms});
   zones_.push_back(request.zone);
   ++in_flight_;
-  // The client waits for the checker's slack as well, so that a response delayed by a turn of this loop
-  // counts as late and not as lost.
+  // The client waits longer than the deadline by the checker's slack, so that a response delayed by a turn of
+  // this loop counts as late and not as lost.
   client_.send(token, request.zone, message, std::move(id), request.deadline_ms + Contract{}.slack_ms);
 }
 
@@ -163,7 +165,7 @@
 
 void LoadGenerator::schedule_retry(std::uint64_t token) {
   auto& attempt = attempts_[token];
-  // An unreachable balancer accepted nothing, so the request can't have executed: counts as rejected.
+  // An unreachable balancer has not accepted the request, so no server executed it: counts as rejected.
   bool rejected = attempt.outcome == Outcome::rejected || attempt.outcome == Outcome::unreachable;
   const auto& spec = experiment_.request_classes[static_cast<std::size_t>(attempt.request_class)];
   auto wait_ms = retries_.delay_before_retry(attempt.request, attempt.number, rejected,
@@ -175,7 +177,7 @@
   set_timer(token, timer, context_.now_ms + *wait_ms);
 }
 
-// A retry is due.
+// The retry of attempt `token` is due.
 void LoadGenerator::on_timer(std::uint64_t token) {
   auto it = retry_timers_.find(token);
   if (it == retry_timers_.end()) return;
--- a/src/testbed/load_generator.hpp
+++ b/src/testbed/load_generator.hpp
@@ -1,5 +1,5 @@
 // The open-loop load generator: sends each request at its scheduled time, independent of earlier responses,
-// and measures latency from that time. One instance belongs to one thread; several workers share a run.
+// and measures latency from that time. Each instance belongs to one thread; a run may have several.
 #pragma once
 
 #include <atomic>
@@ -29,44 +29,50 @@
 
 class LoadGenerator final : HttpClient::Handler, transport::Ready, TestbedContext::Component {
  public:
-  // `targets`: the balancers of the first tier, or the servers themselves. Experiment and counts outlive the
-  // generator. Throws std::system_error if no timer can be created.
+  // `targets`: the balancers of the first tier, or its servers. `context`, `experiment` and `counts` outlive
+  // the generator. Throws std::system_error if the timer cannot be created.
   LoadGenerator(TestbedContext& context, const Experiment& experiment, std::uint64_t seed,
                 std::vector<HttpClient::Target> targets, LoadCounts& counts, LoadWorker worker = {});
   ~LoadGenerator() override;
   LoadGenerator(const LoadGenerator&) = delete;
   LoadGenerator& operator=(const LoadGenerator&) = delete;
 
-  // Sends from `begin_ms` on for the duration of the run, then waits for the requests in flight.
+  // Schedules requests from `begin_ms` for the duration of the run. Returns at once; the loop sends them.
   void begin(double begin_ms);
+  // Returns whether all requests are sent and none is in flight or waits for a retry.
   [[nodiscard]] bool finished() const;
   // Availability events of the first tier's balancers; another thread may publish them.
   [[nodiscard]] BalancerEventQueue& balancer_events() { return balancer_events_; }
 
   [[nodiscard]] std::vector<Attempt>& attempts() { return attempts_; }
-  // The delay of sending after the scheduled time, ms: the load generator's own error.
+  // How long after its scheduled time each request was sent, ms: the load generator's own error.
   [[nodiscard]] const Histogram& send_delay() const { return send_delay_; }
   [[nodiscard]] std::uint64_t connections_opened() const { return client_.connections_opened(); }
 
   void on_timer(std::uint64_t token) override;
 
  private:
-  // The properties shared by all attempts of a request.
+  // What all attempts of a request have in common.
   struct Request {
     std::uint64_t number = 0;
     int request_class = 0, tenant = 0, zone = 0;
     double deadline_ms = 0;
   };
-  void ready(std::uint32_t events) override;  // the timer of the next arrival
+  void ready(std::uint32_t events) override;  // the timer of the next arrival has expired
   void on_result(std::uint64_t token, const HttpClient::Result& result) override;
   void on_extra_bytes(std::uint64_t token) override { attempts_[token].extra_bytes = true; }
   int pick_target(int group) override;
+  // Updates the front balancer with the availability events received since the last call.
   void apply_balancer_events();
+  // Sends all requests that are due.
   void send_due();
+  // Sends one attempt; `intended_ms` is its scheduled send time.
   void send(const Request& request, int attempt_number, double intended_ms);
-  // Sets the timer of the next attempt if the retry policy allows one.
+  // Schedules the next attempt if the retry policy allows one.
   void schedule_retry(std::uint64_t token);
-  void arm();
+  // Sets the timer to the next arrival.
+  void arm_timer();
+  // Opens this worker's part of the experiment's persistent connections, spread evenly over the zones.
   void open_persistent_connections(int workers);
   [[nodiscard]] double next_arrival_ms() const { return begin_ms_ + next_arrival_.at_ms; }
 
@@ -79,7 +85,7 @@
   BalancerEventQueue balancer_events_;
   HttpClient client_;
   std::vector<Attempt> attempts_;
-  std::vector<int> zones_;                                  // zone of the client, by attempt
+  std::vector<int> zones_;                                  // zone of the client, by attempt index
   std::unordered_map<std::uint64_t, double> retry_timers_;  // due time of the next attempt, by attempt index
   Histogram send_delay_;
   Arrival next_arrival_;
@@ -87,7 +93,7 @@
   std::uint64_t in_flight_ = 0;
   transport::Fd timer_;
   std::uint64_t timer_token_ = 0;
-  bool begun_ = false;
+  bool has_begun_ = false;
 };
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -1,4 +1,5 @@
-// meadowgauge-testbed: runs experiments on sockets, compares builds, relays with faults.
+// meadowgauge-testbed: runs experiments with real balancers on loopback sockets, compares builds, and relays
+// connections with injected faults.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -17,7 +18,7 @@
 using namespace meadowgauge::testbed;
 
 constexpr int exit_usage = 2;
-constexpr const char* visible_options = "";  // the unnamed option group; `deprecated` is hidden
+constexpr const char* visible_options = "";  // the unnamed option group, without `deprecated`
 constexpr int max_servers = 5000;
 constexpr int max_connections = 100000;
 
@@ -41,21 +42,21 @@
   add("out", "folder for reports and logs", cxxopts::value<std::string>()->default_value("testbed-out"));
   add("seeds", "overrides the file's seeds, separated by commas",
       cxxopts::value<std::vector<std::uint64_t>>());
-  add("seconds", "overrides the file's length of the run, in seconds", cxxopts::value<double>());
+  add("seconds", "overrides the file's duration of the run, in seconds", cxxopts::value<double>());
   add("rate", "overrides the file's requests per second", cxxopts::value<double>());
   add("servers", "overrides the file's number of servers of the first tier", cxxopts::value<int>());
   add("connections", "overrides the file's number of persistent client connections", cxxopts::value<int>());
-  add("pin", "pins servers, load generator and each balancer to a core of its own");
-  add("quiet", "shows no progress");
+  add("pin", "pins the servers, each load worker and each balancer to a core of its own");
+  add("quiet", "hides the progress line");
   add("listen", "fault: the address to listen on", cxxopts::value<std::string>());
   add("to", "fault: the address to connect to", cxxopts::value<std::string>());
   add("control", "fault: the loopback address of the command socket", cxxopts::value<std::string>());
-  add("fault", "fault: a fault to inject, may be given several times", cxxopts::value<Words>());
+  add("fault", "fault: a fault to inject; may be repeated", cxxopts::value<Words>());
   add("fault-file", "fault: an experiment file whose injected faults are used",
       cxxopts::value<std::string>());
-  add("seed", "fault: the seed of random choices", cxxopts::value<std::uint64_t>()->default_value("1"));
-  add("h,help", "prints this text");
-  // The names of the previous release, accepted until the next one.
+  add("seed", "fault: the seed for random choices", cxxopts::value<std::uint64_t>()->default_value("1"));
+  add("h,help", "prints this help");
+  // Option names of the previous release, accepted until the next release.
   auto add_deprecated = options.add_options("deprecated");
   add_deprecated("strike", "the same as --fault", cxxopts::value<Words>());
   add_deprecated("plan", "the same as --fault-file", cxxopts::value<std::string>());
@@ -63,16 +64,17 @@
   return options;
 }
 
-// Each connection of a run uses a descriptor on either side.
+// Raises the limit of open files to its maximum, because each connection uses a descriptor at both ends.
 void raise_descriptor_limit() {
-  rlimit files{};
-  if (getrlimit(RLIMIT_NOFILE, &files) != 0) return;
-  files.rlim_cur = files.rlim_max;
-  setrlimit(RLIMIT_NOFILE, &files);
+  rlimit descriptors{};
+  if (getrlimit(RLIMIT_NOFILE, &descriptors) != 0) return;
+  descriptors.rlim_cur = descriptors.rlim_max;
+  setrlimit(RLIMIT_NOFILE, &descriptors);
 }
 
 void append(Words& all, const Words& more) { all.insert(all.end(), more.begin(), more.end()); }
 
+// Returns the fault injections of an experiment file.
 Words faults_in_file(const std::string& path) {
   Words faults;
   for (const auto& injection : Experiment::read(path).injections) faults.push_back(injection.text());
@@ -102,6 +104,7 @@
   return 0;
 }
 
+// Applies the command line options that override the experiment file.
 void override_experiment(Experiment& experiment, const Arguments& arguments) {
   if (is_given(arguments, "seconds")) experiment.seconds = arguments["seconds"].as<double>();
   if (is_given(arguments, "rate")) experiment.traffic.rate = arguments["rate"].as<double>();
@@ -121,8 +124,8 @@
   return options;
 }
 
-// `words`: the parameter, then values and builds in any order. Numbers are values.
-int sweep_words(const Experiment& experiment, Words words, const CommandOptions& options) {
+// Runs `sweep`. `words`: the parameter, then values and builds in any order; numbers are values.
+int run_sweep(const Experiment& experiment, Words words, const CommandOptions& options) {
   if (words.size() < 2) throw UsageError("sweep needs a file, a parameter and at least one value");
   auto first_build = std::stable_partition(words.begin() + 1, words.end(), [](const std::string& text) {
     return text.find_first_not_of("0123456789.") == std::string::npos;
@@ -131,18 +134,18 @@
                        options);
 }
 
-// A command that runs experiments; `words`: the arguments after the file's name.
+// Runs a command that takes an experiment file. `words`: the arguments after the file's name.
 int experiment_command(const std::string& command, const Experiment& experiment, const Words& words,
                        const CommandOptions& options) {
   if (command == "run") return run_command(experiment, words, options);
-  if (command == "sweep") return sweep_words(experiment, words, options);
+  if (command == "sweep") return run_sweep(experiment, words, options);
   if (command != "compare")
     throw UsageError("unknown command " + command + ": run, compare, sweep, check or fault");
   if (words.size() != 2) throw UsageError("compare needs a file and two builds");
   return compare_command(experiment, words[0], words[1], options);
 }
 
-int main_or_throw(int argc, char** argv) {
+int run_program(int argc, char** argv) {
   auto options = command_line_options();
   auto arguments = options.parse(argc, argv);
   if (is_given(arguments, "help") || !is_given(arguments, "command")) {
@@ -177,7 +180,7 @@
 int main(int argc, char** argv) {
   handle_stop_signals();
   try {
-    return main_or_throw(argc, argv);
+    return run_program(argc, argv);
   } catch (const std::exception& e) {
     std::cerr << "meadowgauge-testbed: " << e.what() << std::endl;
     return 1;
--- a/src/testbed/outgoing_request.hpp
+++ b/src/testbed/outgoing_request.hpp
@@ -1,4 +1,4 @@
-// Serialization of a request as clients and calling servers send it.
+// Serializes a request of a client, or of a server that calls the next tier.
 #pragma once
 
 #include <algorithm>
@@ -11,15 +11,15 @@
 
 namespace meadowgauge::testbed {
 
-// Views, which must outlive the call to serialize().
+// The parts of a request. The viewed texts must outlive the call to serialize().
 struct OutgoingRequest {
   const RequestClassSpec* request_class;
   std::string_view id, key, tenant;
-  double budget_ms;  // the rest of the client's timeout
-  bool mark_retry = false;
+  double budget_ms;         // the remaining time of the client's timeout
+  bool mark_retry = false;  // marks the request as a client's retry
 };
 
-// Returns the bytes of the request, body included.
+// Returns the bytes of the request, including its body.
 inline std::string serialize(const OutgoingRequest& request) {
   namespace names = protocol::names;
   const auto& request_class = *request.request_class;
--- a/src/testbed/process.cpp
+++ b/src/testbed/process.cpp
@@ -49,6 +49,7 @@
   return environment;
 }
 
+// Returns pointers to the texts, followed by a null pointer, as execve() requires.
 std::vector<char*> null_terminated(std::vector<std::string>& texts) {
   std::vector<char*> pointers;
   pointers.reserve(texts.size() + 1);
@@ -57,10 +58,10 @@
   return pointers;
 }
 
-// The child's side of start(): makes only calls that are async-signal-safe after a fork.
+// Runs in the child after the fork, so it makes only async-signal-safe calls.
 [[noreturn]] void run_child(pid_t parent, int log_fd, const cpu_set_t* cpus, const char* program, char** argv,
                             char** envp) {
-  // Kills the child when the parent exits for any reason.
+  // The kernel kills the child when the parent exits for any reason.
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (getppid() != parent) _exit(127);
   sigset_t none;
@@ -78,7 +79,7 @@
 }  // namespace
 
 void Process::start() {
-  // Allocates everything before the fork: allocation is unsafe between fork and exec.
+  // Allocates everything before the fork, because allocation is unsafe between fork and exec.
   std::vector<std::string> arguments{options_.program};
   arguments.insert(arguments.end(), options_.args.begin(), options_.args.end());
   auto environment = environment_with(options_.variables);
@@ -150,7 +151,7 @@
   return n > 12 && std::string_view(bytes.data(), static_cast<std::size_t>(n)).starts_with("HTTP/1.1 200");
 }
 
-bool becomes_ready(const transport::Address& at, double timeout_ms, Process& process) {
+bool wait_until_ready(const transport::Address& at, double timeout_ms, Process& process) {
   auto until = std::chrono::steady_clock::now() + std::chrono::duration<double, std::milli>(timeout_ms);
   while (std::chrono::steady_clock::now() < until && !process.take_exit() && process.running()) {
     if (is_ready(at)) return true;
--- a/src/testbed/process.hpp
+++ b/src/testbed/process.hpp
@@ -1,4 +1,4 @@
-// A child process with its own environment, and the readiness check of a balancer that it runs.
+// A child process with its own environment, and the readiness check of a balancer.
 #pragma once
 
 #include <sys/resource.h>
@@ -12,12 +12,14 @@
 
 namespace meadowgauge::testbed {
 
+// A program that can be started several times, one process at a time.
 class Process {
  public:
+  // `variables` are added to the environment of this process and replace those of the same name.
   struct Options {
     std::string program;
     std::vector<std::string> args;
-    std::vector<std::pair<std::string, std::string>> variables;  // added to the environment of this process
+    std::vector<std::pair<std::string, std::string>> variables;
     std::string log;  // standard output and error are appended to this file
     int cpu = -1;     // pins the process to this core; -1: no pinning
   };
@@ -28,19 +30,22 @@
   Process(Process&& other) noexcept;
   Process& operator=(Process&&) = delete;
 
-  // Throws std::system_error if fork fails. A missing program exits at once with status 127.
+  // Starts the program. Throws std::system_error if fork fails. If the program cannot be executed, the child
+  // exits at once with status 127.
   void start();
-  // Does nothing if the process is not running.
+  // Sends a signal; does nothing if the process is not running.
   void signal(int number) const;
-  // Returns true once after the exit; status(), cpu_ms() and peak_kb() are valid from then on.
+  // Returns true once after the process has exited, without blocking; status(), cpu_ms() and peak_kb()
+  // include the exited process from then on.
   bool take_exit();
-  void wait();  // for the exit
+  // Blocks until the process has exited.
+  void wait();
   [[nodiscard]] bool running() const { return pid_ > 0; }
-  // The exit status of the last run, or the negative number of the signal that ended the process.
+  // The exit status of the last process, or the negative number of the signal that ended it.
   [[nodiscard]] int status() const { return status_; }
-  // Processor time of all runs that have exited.
+  // The processor time of all processes that have exited.
   [[nodiscard]] double cpu_ms() const { return cpu_ms_; }
-  // The maximum resident set size over these runs, KiB.
+  // The maximum resident set size of these processes, KiB.
   [[nodiscard]] long peak_kb() const { return peak_kb_; }
   [[nodiscard]] const std::string& log() const { return options_.log; }
 
@@ -53,10 +58,11 @@
   long peak_kb_ = 0;
 };
 
-// Polls `GET /-/ready` until the response is 200, for at most `timeout_ms` or until the process exits.
-// Blocks; for use before a run begins.
-bool becomes_ready(const transport::Address& at, double timeout_ms, Process& process);
-// Sends one `GET /-/ready`; blocks for at most 50 ms at each step.
+// Polls `GET /-/ready` until the response is 200 and returns true; returns false after `timeout_ms` or when
+// the process exits. Blocks, so it must not be called during a run.
+bool wait_until_ready(const transport::Address& at, double timeout_ms, Process& process);
+// Sends one `GET /-/ready` and returns whether the response is 200. Blocks for at most 50 ms each to connect
+// and to receive.
 bool is_ready(const transport::Address& at);
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/report.hpp
+++ b/src/testbed/report.hpp
@@ -1,5 +1,5 @@
-// The metrics of runs for people and for programs: a few lines of text, JSON, and one HTML page that needs no
-// other file. The JSON's keys and the names of rules are an interface for scripts: CHANGELOG lists renames.
+// Reports of a run's metrics: a text summary, JSON, and a self-contained HTML page. The keys of the JSON and
+// the names of the rules are an interface for scripts; CHANGELOG lists every rename.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,18 @@
 
 namespace meadowgauge::testbed {
 
-// One run.
+// The metrics of one run, and what was run.
 struct Report {
   std::string build;
   std::uint64_t seed = 0;
   RunMetrics metrics;
 };
 
+// Returns a summary of one run in a few lines of text.
 std::string text_report(const Experiment& experiment, const Report& report);
+// Returns all runs of an experiment as one JSON object.
 std::string json_report(const Experiment& experiment, const std::vector<Report>& reports);
+// Returns all runs of an experiment as one HTML page.
 std::string html_report(const Experiment& experiment, const std::vector<Report>& reports);
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/report_html.cpp
+++ b/src/testbed/report_html.cpp
@@ -18,7 +18,7 @@
     "td:first-child,th:first-child{text-align:left}.t{font-size:13px;font-weight:600}.a{font-size:11px}"
     ".g{stroke:#ddd}.f{fill:#f3c9a8;opacity:.45}.bad{color:#b00020;font-weight:600}.ok{color:#1b6e2e}";
 
-std::string rows_table(const std::string& title, const std::vector<Row>& rows, bool with_process) {
+std::string rows_table(const std::string& title, const std::vector<OutcomeRow>& rows, bool with_process) {
   std::string html = "<h3>" + title +
                      "</h3><table><tr><th>name</th><th>received</th><th>succeeded</th><th>rejected</th>"
                      "<th>failed</th><th>other</th><th>p50 ms</th><th>p99 ms</th>";
@@ -57,11 +57,11 @@
              "p50 %.2f ms, max %.1f ms.",
              printable(metrics.requests), metrics.weighted_success, metrics.worst_weighted_success,
              metrics.latency.quantile(0.5), metrics.latency.quantile(0.99), metrics.attempts_per_request,
-             metrics.balancer_us, metrics.send_delay_p50_ms, metrics.send_delay_max_ms) +
+             metrics.balancer_cpu_us, metrics.send_delay_p50_ms, metrics.send_delay_max_ms) +
          "</p>\n";
 }
 
-// Turns a slice's count into a rate per second.
+// Returns a series that shows a count of each slice as a rate per second.
 Series rate_series(const char* name, const char* colour, std::uint64_t Slice::*count, double slice_ms) {
   return {name, colour,
           [=](const Slice& slice) { return static_cast<double>(slice.*count) / slice_ms * 1000; }};
--- a/src/testbed/report_json.cpp
+++ b/src/testbed/report_json.cpp
@@ -17,7 +17,7 @@
           {"max_ms", h.max()}};
 }
 
-json to_json(const Row& row) {
+json to_json(const OutcomeRow& row) {
   return {{"name", row.name},
           {"received", row.received},
           {"succeeded", row.succeeded},
@@ -112,15 +112,15 @@
           {"tenants", to_json(metrics.tenants)},
           {"request_classes", to_json(metrics.request_classes)},
           {"load_generator",
-           {{"cpu_us_per_attempt", metrics.load_us},
+           {{"cpu_us_per_attempt", metrics.load_generator_cpu_us},
             {"send_delay_p50_ms", metrics.send_delay_p50_ms},
             {"send_delay_p99_ms", metrics.send_delay_p99_ms},
             {"send_delay_max_ms", metrics.send_delay_max_ms},
-            {"longest_turn_ms", metrics.load_turns.work_ms},
-            {"longest_turn_delay_ms", metrics.load_turns.late_ms},
+            {"longest_turn_ms", metrics.load_generator_turns.work_ms},
+            {"longest_turn_delay_ms", metrics.load_generator_turns.late_ms},
             {"servers_longest_turn_ms", metrics.servers_turns.work_ms},
             {"servers_longest_turn_delay_ms", metrics.servers_turns.late_ms}}},
-          {"balancer_cpu_us_per_request", metrics.balancer_us},
+          {"balancer_cpu_us_per_request", metrics.balancer_cpu_us},
           {"fleet_limits", to_json(metrics.limits)},
           {"datagrams_per_s_per_balancer", metrics.datagrams_per_s},
           {"datagram_bytes_per_s_per_balancer", metrics.datagram_bytes_per_s},
--- a/src/testbed/report_text.cpp
+++ b/src/testbed/report_text.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Above this 99th percentile of the send delay, the latencies measure the load generator.
+// If the 99th percentile of the send delay exceeds this, the measured latencies are mostly the load
+// generator's.
 constexpr double max_send_delay_ms = 50;
 constexpr int max_violations_shown = 5;
 
@@ -31,7 +32,8 @@
          formatted(
              "\n  balancers %.0f us CPU per request; load generator %.0f us CPU per attempt, send delay "
              "p50 %.2f ms, max %.1f ms\n",
-             metrics.balancer_us, metrics.load_us, metrics.send_delay_p50_ms, metrics.send_delay_max_ms);
+             metrics.balancer_cpu_us, metrics.load_generator_cpu_us, metrics.send_delay_p50_ms,
+             metrics.send_delay_max_ms);
 }
 
 std::string tenants(const RunMetrics& metrics) {
--- a/src/testbed/run_metrics.cpp
+++ b/src/testbed/run_metrics.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr double recovery_window_ms = 1000;     // a recovery is judged over this window
-constexpr double before_window_ms = 4000;       // the reference window before a fault
-constexpr double lease_settling_ms = 2000;      // from the run's begin until quota leases match the traffic
-constexpr double worst_window_ms = 2000;        // the window of the worst weighted success
-constexpr double rounding_tolerance_ms = 1e-6;  // where window and slice boundaries coincide
-constexpr double unbounded_tail_ms = 1e9;       // the reference tail without requests before the fault
-constexpr double tail_latency_share = 0.99;     // share of the requests at or below the tail latency
+constexpr double recovery_window_ms = 1000;  // share and tail latency must recover over a window this long
+constexpr double before_window_ms = 4000;    // the reference window before a fault
+constexpr double lease_settling_ms = 2000;   // from the run's start until the quota leases match the traffic
+constexpr double worst_window_ms = 2000;     // length of the window of the worst weighted success
+constexpr double rounding_tolerance_ms = 1e-6;  // tolerance for comparing window and slice boundaries
+constexpr double unbounded_tail_ms = 1e9;    // tail latency to recover to if no requests preceded the fault
+constexpr double tail_latency_share = 0.99;  // quantile of the latency that counts as the tail latency
 
-// A count as a divisor that is never zero.
+// Converts a count to a divisor; zero becomes 1.
 double positive_count(std::uint64_t count) { return std::max<double>(1, static_cast<double>(count)); }
 
 // The first and the last attempt of a request.
@@ -26,14 +26,14 @@
   const Attempt* last = nullptr;
 };
 
-// Share within the objective and tail latency over some slices.
+// Share of requests within the objective, and tail latency, over consecutive slices.
 struct Window {
   double share = 1, tail_ms = 0;
   std::uint64_t offered = 0;
 };
 
-// Counts an outcome, with its latency if it succeeded.
-void count_outcome(Row& row, Outcome outcome, double latency_ms) {
+// Adds an outcome to a row, with the latency if the request succeeded.
+void count_outcome(OutcomeRow& row, Outcome outcome, double latency_ms) {
   switch (outcome) {
     case Outcome::succeeded:
       ++row.succeeded;
@@ -50,6 +50,7 @@
   }
 }
 
+// Computes the metrics of one run; experiment and run outlive the builder.
 class MetricsBuilder {
  public:
   MetricsBuilder(const Experiment& experiment, const RunResult& run) : experiment_(experiment), run_(run) {}
@@ -79,14 +80,14 @@
       metrics_.slices[i].at_ms = static_cast<double>(i) * metrics_.slice_ms;
   }
 
-  // The slice index of a time from the run's begin; times after the end count in the last slice.
+  // Returns the index of the slice at `at_ms` from the run's start; the last slice for times after the end.
   [[nodiscard]] std::size_t slice_at(double at_ms) const {
     auto index = static_cast<std::size_t>(std::max(0.0, at_ms / metrics_.slice_ms));
     return std::min(metrics_.slices.size() - 1, index);
   }
 
   void add_balancer_rows() {
-    std::map<std::pair<int, int>, Row> rows;
+    std::map<std::pair<int, int>, OutcomeRow> rows;
     for (const auto& usage : run_.balancers) {
       auto& row = rows[{usage.tier, usage.balancer}];
       row.name = "b-" + std::to_string(usage.tier) + "-" + std::to_string(usage.balancer);
@@ -102,7 +103,9 @@
     for (auto& [key, row] : rows) metrics_.balancers.push_back(std::move(row));
   }
 
-  static void count_record(Row& row, const ServerRecord& record) {
+  // Adds a server's record to its row. The latency is the server's own, from the request's last byte to the
+  // answer.
+  static void count_record(OutcomeRow& row, const ServerRecord& record) {
     ++row.received;
     const bool received_complete = record.last_byte_ms != never;
     if (received_complete && record.result == ServerRecord::Result::rejected)
@@ -116,19 +119,20 @@
   }
 
   void add_server_rows() {
-    std::map<std::pair<int, int>, Row> rows;
+    std::map<std::pair<int, int>, OutcomeRow> rows;
     for (std::size_t t = 0; t < experiment_.tiers.size(); ++t)
       for (int s = 0; s < experiment_.tiers[t].servers; ++s)
         rows[{static_cast<int>(t), s}].name = "s-" + std::to_string(t) + "-" + std::to_string(s);
-    std::vector<std::uint64_t> complete(experiment_.tiers.size());
+    std::vector<std::uint64_t> complete_attempts(experiment_.tiers.size());
     for (const auto& record : run_.history.server_records) {
       count_record(rows[{record.tier, record.server}], record);
-      if (record.last_byte_ms != never) ++complete[static_cast<std::size_t>(record.tier)];
+      if (record.last_byte_ms != never) ++complete_attempts[static_cast<std::size_t>(record.tier)];
     }
     for (auto& [key, row] : rows) metrics_.servers.push_back(std::move(row));
-    for (auto count : complete) metrics_.attempts_per_tier.push_back(static_cast<double>(count));
+    for (auto count : complete_attempts) metrics_.attempts_per_tier.push_back(static_cast<double>(count));
   }
 
+  // Counts the clients' requests. The first attempt gives a request's scheduled time, the last its outcome.
   void add_requests() {
     std::map<std::uint64_t, RequestAttempts> requests;
     std::uint64_t attempts = 0;
@@ -193,6 +197,7 @@
     earned_weight_ += spec.priority_weight;
   }
 
+  // Finds the lowest weighted success over all windows of `worst_window_ms` with offered requests.
   void find_worst_window() {
     const auto& slices = metrics_.slices;
     auto width = std::max<std::size_t>(1, static_cast<std::size_t>(worst_window_ms / metrics_.slice_ms));
@@ -209,28 +214,32 @@
     }
   }
 
-  // Covers the slices that lie completely between these times from the run's begin.
+  // Summarizes the slices that lie completely between two times, which count from the run's start.
   [[nodiscard]] Window window(double from_ms, double until_ms) const {
     Window window;
     Histogram latency;
-    std::uint64_t good = 0;
+    std::uint64_t within_objective_count = 0;
     for (const auto& slice : metrics_.slices) {
       if (slice.at_ms < from_ms - rounding_tolerance_ms ||
           slice.at_ms + metrics_.slice_ms > until_ms + rounding_tolerance_ms)
         continue;
       window.offered += slice.offered;
-      good += slice.within_objective;
+      within_objective_count += slice.within_objective;
       latency.merge(slice.latency);
     }
-    if (window.offered > 0) window.share = static_cast<double>(good) / static_cast<double>(window.offered);
+    if (window.offered > 0)
+      window.share = static_cast<double>(within_objective_count) / static_cast<double>(window.offered);
     window.tail_ms = latency.quantile(tail_latency_share);
     return window;
   }
 
+  // Rounds a time down to the start of its slice.
   [[nodiscard]] double slice_begin(double ms) const {
     return std::floor(ms / metrics_.slice_ms) * metrics_.slice_ms;
   }
 
+  // Compares the requests before and during a fault, and finds the time of recovery after it. Window
+  // boundaries are rounded to slices.
   void add_recovery(const FaultSpec& fault) {
     Recovery recovery{.fault = fault.text(),
                       .from_ms = fault.at_ms,
@@ -246,34 +255,39 @@
     metrics_.recoveries.push_back(std::move(recovery));
   }
 
+  // Returns the time from the fault's end to the first window of `recovery_window_ms` in which the share
+  // within the objective and the tail latency are back at their values before the fault, within the
+  // experiment's relative tolerances. Empty if there is no such window in the run.
   [[nodiscard]] std::optional<double> time_to_recover(double fault_end_ms, const Window& before) const {
     double min_share = before.share * (1 - experiment_.recovered_share);
     double max_tail_ms = before.tail_ms * (1 + experiment_.recovered_tail);
     double at_ms = std::ceil(fault_end_ms / metrics_.slice_ms) * metrics_.slice_ms;
     for (; at_ms + recovery_window_ms <= run_.duration_ms + rounding_tolerance_ms;
          at_ms += metrics_.slice_ms) {
-      auto now = window(at_ms, at_ms + recovery_window_ms);
-      if (now.share >= min_share && now.tail_ms <= max_tail_ms) return at_ms - fault_end_ms;
+      auto current = window(at_ms, at_ms + recovery_window_ms);
+      if (current.share >= min_share && current.tail_ms <= max_tail_ms) return at_ms - fault_end_ms;
     }
     return {};
   }
 
+  // Computes processor time per request and attempt, and the load generator's delays.
   void add_costs() {
     double requests = positive_count(metrics_.requests);
-    metrics_.load_us = run_.load_cpu_ms * 1000 / (requests * metrics_.attempts_per_request);
+    metrics_.load_generator_cpu_us =
+        run_.load_generator_cpu_ms * 1000 / (requests * metrics_.attempts_per_request);
     double cpu_ms = 0;
     for (const auto& usage : run_.balancers) cpu_ms += usage.cpu_ms;
-    metrics_.balancer_us = cpu_ms * 1000 / requests;
+    metrics_.balancer_cpu_us = cpu_ms * 1000 / requests;
     metrics_.send_delay_p50_ms = run_.send_delay.quantile(0.5);
     metrics_.send_delay_p99_ms = run_.send_delay.quantile(0.99);
     metrics_.send_delay_max_ms = run_.send_delay.max();
-    metrics_.load_turns = run_.load_turns;
+    metrics_.load_generator_turns = run_.load_generator_turns;
     metrics_.servers_turns = run_.servers_turns;
   }
 
   void add_limits() {
     if (!experiment_.fleet) return;
-    // Measures the fleet's limits even for builds that were not configured with them, for comparison.
+    // Measures the fleet's limits even for builds without a fleet, so that builds can be compared.
     auto contract = experiment_.contract();
     for (const auto& limit : experiment_.fleet->limits)
       metrics_.limits.push_back(limit_row(limit, admission_history(run_.history, contract, limit)));
@@ -282,16 +296,18 @@
     metrics_.datagram_bytes_per_s = static_cast<double>(run_.datagram_bytes) / balancer_seconds;
   }
 
+  // Returns the admission rates under a limit by slice and balancer. The mean omits `lease_settling_ms` at
+  // the start and everything after the run's duration.
   [[nodiscard]] LimitRow limit_row(const FleetLimit& limit, const AdmissionHistory& admitted) const {
-    auto or_all = [](const std::string& name) { return name.empty() ? std::string("*") : name; };
-    std::vector<double> no_slices(metrics_.slices.size());
-    LimitRow row{.name = or_all(limit.tenant) + "/" + or_all(limit.request_class),
+    auto name_or_wildcard = [](const std::string& name) { return name.empty() ? std::string("*") : name; };
+    std::vector<double> zero_slices(metrics_.slices.size());
+    LimitRow row{.name = name_or_wildcard(limit.tenant) + "/" + name_or_wildcard(limit.request_class),
                  .rate = limit.rate,
                  .burst = limit.burst,
                  .max_excess = admitted.max_excess,
-                 .slices = no_slices,
+                 .slices = zero_slices,
                  .by = std::vector<std::vector<double>>(
-                     static_cast<std::size_t>(experiment_.tiers.front().balancers), no_slices)};
+                     static_cast<std::size_t>(experiment_.tiers.front().balancers), zero_slices)};
     const double per_slice = 1000 / metrics_.slice_ms;
     const double per_run = 1000 / (run_.duration_ms - lease_settling_ms);
     for (const auto& [time_ms, balancer] : admitted.events) {
--- a/src/testbed/runner.cpp
+++ b/src/testbed/runner.cpp
@@ -21,11 +21,13 @@
 
 namespace {
 
-constexpr double lead_ms = 150;  // from readiness to the first request, for discovery watches to connect
+// From readiness to the first request; the balancers' discovery watches connect meanwhile.
+constexpr double start_delay_ms = 150;
 constexpr double progress_interval_ms = 250;
 constexpr auto poll_interval = std::chrono::milliseconds(2);
 
-// Returns a free port; each run listens on it at its own loopback addresses.
+// Returns a port that is free at present. All listeners of a run use this port on different loopback
+// addresses.
 int free_port() {
   struct Ignore final : transport::Ready {
     void ready(std::uint32_t) override {}
@@ -43,6 +45,7 @@
   sched_setaffinity(0, sizeof set, &set);
 }
 
+// Returns the processor time of the calling thread.
 double thread_cpu_ms() {
   rusage usage{};
   getrusage(RUSAGE_THREAD, &usage);
@@ -52,8 +55,8 @@
   return ms(usage.ru_utime) + ms(usage.ru_stime);
 }
 
-// One run. Starts the balancers while this process has one thread, then starts the threads and watches the
-// balancers.
+// One run. Starts the balancers while this process has a single thread, because it forks; then starts the
+// threads and polls the balancers until the load generator has finished.
 class Runner {
  public:
   Runner(const Experiment& experiment, const BuildSpec& build, std::uint64_t seed, const RunOptions& options)
@@ -66,7 +69,7 @@
         balancers_(experiment, build, seed, addresses_,
                    {.folder = options.folder, .first_cpu = options.pin ? 1 + experiment.workers : -1},
                    [this](int tier, int balancer) { return servers_.endpoint_list(tier, balancer); }) {}
-  // Ends the threads if run() has thrown.
+  // Makes the threads end if run() has thrown.
   ~Runner() { servers_stop_ = load_stop_ = true; }
   Runner(const Runner&) = delete;
   Runner& operator=(const Runner&) = delete;
@@ -78,7 +81,7 @@
     result_.seed = seed_;
     result_.duration_ms = experiment_.ms();
     result_.contract = experiment_.contract(build_.fleet);
-    result_.begin_ms = clock_.now() + lead_ms;
+    result_.begin_ms = clock_.now() + start_delay_ms;
     create_workers();
     start_threads();
     watch_until_finished();
@@ -98,7 +101,7 @@
     double cpu_ms = 0;
   };
 
-  // The targets of clients: the balancers of the first tier, or the servers themselves.
+  // Returns the targets of clients: the balancers of the first tier, or the servers themselves.
   [[nodiscard]] std::vector<HttpClient::Target> client_targets() const {
     std::vector<HttpClient::Target> targets;
     const auto& tier = experiment_.tiers.front();
@@ -143,12 +146,14 @@
     worker.finished = true;
   }
 
-  // Publishes to the threads that connect to that balancer: clients, or the servers of the previous tier.
+  // Tells the threads whose clients connect to the balancer: the load workers, or the servers of the previous
+  // tier.
   void publish(int tier, int balancer, bool up) {
     if (tier > 0) return servers_.balancer_events().publish({tier, balancer, up});
     for (auto& worker : workers_) worker->load->balancer_events().publish({0, balancer, up});
   }
 
+  // Polls the balancers and reports progress until all load workers have finished.
   void watch_until_finished() {
     auto on_availability = [this](int tier, int balancer, bool up) { publish(tier, balancer, up); };
     double last_progress_ms = 0;
@@ -165,7 +170,7 @@
                           [](const auto& worker) { return worker->finished.load(); }));
   }
 
-  // Collects the results; all threads and processes have ended.
+  // Collects the results. All threads and processes must have ended.
   void collect() {
     result_.balancers = balancers_.usage();
     result_.history = std::move(servers_.history());
@@ -179,10 +184,10 @@
       all.insert(all.end(), std::make_move_iterator(attempts.begin()),
                  std::make_move_iterator(attempts.end()));
       result_.send_delay.merge(worker->load->send_delay());
-      result_.load_cpu_ms += worker->cpu_ms;
+      result_.load_generator_cpu_ms += worker->cpu_ms;
       const auto& longest = worker->context.turns().longest();
-      result_.load_turns.work_ms = std::max(result_.load_turns.work_ms, longest.work_ms);
-      result_.load_turns.late_ms = std::max(result_.load_turns.late_ms, longest.late_ms);
+      result_.load_generator_turns.work_ms = std::max(result_.load_generator_turns.work_ms, longest.work_ms);
+      result_.load_generator_turns.late_ms = std::max(result_.load_generator_turns.late_ms, longest.late_ms);
       result_.connections += worker->load->connections_opened();
     }
   }
--- a/src/testbed/schedule.cpp
+++ b/src/testbed/schedule.cpp
@@ -8,10 +8,10 @@
 
 using Kind = Action::Kind;
 
-// In a rolling restart, from the server's first rejection to its stop.
+// In a rolling restart, the time from when the server starts to reject requests until it stops.
 constexpr double rejecting_before_stop_ms = 300;
 
-// Converts the faults of one experiment into actions, one fault at a time.
+// Converts the faults of an experiment into actions, one fault at a time.
 class Scheduler {
  public:
   Scheduler(const Experiment& experiment, std::uint64_t seed) : experiment_(experiment), seed_(seed) {}
@@ -35,7 +35,7 @@
         {.kind = kind, .at_ms = at_ms, .tier = fault_->tier, .target_index = target, .value = value});
   }
 
-  // Switches the fault on at its begin and off at its end, at each target.
+  // Switches the fault on at its start and off at its end, at each target.
   void add_on_off(Kind kind, double value) {
     for (int server : targets_) {
       add(fault_->at_ms, kind, server, value);
@@ -43,6 +43,7 @@
     }
   }
 
+  // Adds the actions of the current fault.
   void schedule_fault() {
     using Fault = FaultSpec::Kind;
     const auto& fault = *fault_;
@@ -81,6 +82,7 @@
     for (int target : targets_) add(fault_->at_ms, kind, target, value);
   }
 
+  // Stops the servers and, if the fault has a duration, restarts them in slow start at its end.
   void schedule_kill() {
     for (int server : targets_) {
       add(fault_->at_ms, Kind::stop, server);
@@ -105,7 +107,7 @@
     }
   }
 
-  // Restarts batches of `at_once` servers, whose begins are spread evenly over the fault's duration.
+  // Restarts batches of `at_once` servers; the batches start at even intervals over the fault's duration.
   void schedule_rolling_restart() {
     const auto& fault = *fault_;
     const int servers = static_cast<int>(targets_.size());
--- a/src/testbed/schedule.hpp
+++ b/src/testbed/schedule.hpp
@@ -1,5 +1,5 @@
-// The schedule of a run: an experiment's faults as timed actions. Values only; the caller carries out the
-// actions that are due.
+// The schedule of a run: an experiment's faults as timed actions. The caller applies the actions that are
+// due.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace meadowgauge::testbed {
 
-// One step of a fault. Times are milliseconds from the begin of the run.
+// One step of a fault. Times are milliseconds from the start of the run.
 struct Action {
   enum class Kind : std::uint8_t {
     // at a server
@@ -35,11 +35,11 @@
   Kind kind = Kind::stop;
   double at_ms = 0;
   int tier = 0, target_index = 0;  // index of the server or balancer in its tier
-  double value = 0;                // amount, 0 ends a fault; for stall, kill, terminate: end time, ms
+  double value = 0;  // strength of the fault, 0 ends it; of stall, kill, terminate: end time, ms
   [[nodiscard]] bool targets_balancer() const { return kind >= Kind::kill; }
 };
 
-// Returns all actions of a run in order of time; deterministic for a seed.
+// Returns all actions of a run sorted by time. The same seed gives the same actions.
 std::vector<Action> schedule_actions(const Experiment& experiment, std::uint64_t seed);
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/server_fleet.cpp
+++ b/src/testbed/server_fleet.cpp
@@ -12,7 +12,7 @@
   return "s-" + std::to_string(tier) + "-" + std::to_string(server);
 }
 
-// Returns the server's number within a named random stream.
+// Returns the server's index within a named random stream, unique over all tiers.
 std::uint64_t stream_number(int tier, int server) {
   return static_cast<std::uint64_t>(tier) * 10000 + static_cast<std::uint64_t>(server);
 }
@@ -43,12 +43,14 @@
                                 experiment_.front_detection_delay_ms);
   std::vector<DiscoveryEndpoint> endpoints;
   endpoints.reserve(static_cast<std::size_t>(spec(tier).servers));
-  for (int s = 0; s < spec(tier).servers; ++s) endpoints.push_back(create_server(tier, s));
+  for (int server_index = 0; server_index < spec(tier).servers; ++server_index)
+    endpoints.push_back(create_server(tier, server_index));
   create_discovery(tier, endpoints);
   if (tier + 1 < static_cast<int>(experiment_.tiers.size())) create_client(tier);
 }
 
-// Draws a kind by its share for each server, so that each zone has servers of all kinds. Null without kinds.
+// Draws a server's kind at random by the kinds' shares, so that each zone has servers of all kinds. Returns
+// null if the tier has no kinds.
 const ServerKindSpec* ServerFleet::draw_kind(int tier, int server) const {
   const auto& kinds = spec(tier).kinds;
   double sum = 0;
@@ -62,38 +64,41 @@
   return drawn;
 }
 
-DiscoveryEndpoint ServerFleet::create_server(int tier, int s) {
+DiscoveryEndpoint ServerFleet::create_server(int tier, int server_index) {
   const auto& tier_spec = spec(tier);
-  const auto* kind = draw_kind(tier, s);
+  const auto* kind = draw_kind(tier, server_index);
   Server::Config config{.tier = tier,
-                        .server = s,
-                        .seed = mixed(seed_, "backend", stream_number(tier, s)),
+                        .server = server_index,
+                        .seed = mixed(seed_, "backend", stream_number(tier, server_index)),
                         .idle_ms = tier_spec.idle_ms,
                         .speed = kind ? kind->speed : 1,
                         .load_report_columns = tier_spec.load_report_columns};
-  at_tier(tier).servers.push_back(
+  tier_state(tier).servers.push_back(
       std::make_unique<Server>(context_, *this, config, tier_spec.server, history_.server_records));
-  start_server(tier, s, false);
-  DiscoveryEndpoint endpoint{.host = server_name(tier, s),
-                             .zone = tier_spec.zones[static_cast<std::size_t>(experiment_.zone_of(tier, s))],
-                             .kind = kind ? kind->name : "m",
-                             .block = tier_spec.block > 0 ? s / tier_spec.block : s};
+  start_server(tier, server_index, false);
+  DiscoveryEndpoint endpoint{
+      .host = server_name(tier, server_index),
+      .zone = tier_spec.zones[static_cast<std::size_t>(experiment_.zone_of(tier, server_index))],
+      .kind = kind ? kind->name : "m",
+      .block = tier_spec.block > 0 ? server_index / tier_spec.block : server_index};
   for (int b = 0; b < tier_spec.balancers; ++b) {
-    auto address = tier_spec.relays ? addresses_.relay(tier, s, b) : addresses_.server(tier, s, b);
+    auto address =
+        tier_spec.relays ? addresses_.relay(tier, server_index, b) : addresses_.server(tier, server_index, b);
     endpoint.addresses.push_back(address.text());
   }
   return endpoint;
 }
 
 void ServerFleet::create_discovery(int tier, const std::vector<DiscoveryEndpoint>& endpoints) {
-  std::vector<transport::Address> listen_at;
-  listen_at.reserve(static_cast<std::size_t>(spec(tier).balancers));
-  for (int b = 0; b < spec(tier).balancers; ++b) listen_at.push_back(addresses_.discovery(tier, b));
+  std::vector<transport::Address> listen_addresses;
+  listen_addresses.reserve(static_cast<std::size_t>(spec(tier).balancers));
+  for (int b = 0; b < spec(tier).balancers; ++b) listen_addresses.push_back(addresses_.discovery(tier, b));
   auto on_notified = [this, tier](int balancer, int server, DiscoveryEndpoint::Health health) {
     bool drains = health != DiscoveryEndpoint::Health::active;
     history_.notifications.push_back({tier, balancer, server, drains, context_.now_ms});
   };
-  at_tier(tier).discovery = std::make_unique<Discovery>(context_, listen_at, endpoints, on_notified);
+  tier_state(tier).discovery =
+      std::make_unique<Discovery>(context_, listen_addresses, endpoints, on_notified);
 }
 
 void ServerFleet::create_client(int tier) {
@@ -101,7 +106,7 @@
   targets.reserve(static_cast<std::size_t>(spec(tier + 1).balancers));
   for (int b = 0; b < spec(tier + 1).balancers; ++b)
     targets.push_back({addresses_.balancer(tier + 1, b), tier + 1});
-  at_tier(tier).client =
+  tier_state(tier).client =
       std::make_unique<HttpClient>(context_, std::move(targets), *this, HttpClient::Options{});
 }
 
@@ -110,34 +115,36 @@
   return {datagram_relay_->datagrams(), datagram_relay_->bytes()};
 }
 
-void ServerFleet::start_server(int tier, int s, bool slow_start) {
-  std::vector<transport::Address> listen_at;
-  listen_at.reserve(static_cast<std::size_t>(spec(tier).balancers));
-  for (int b = 0; b < spec(tier).balancers; ++b) listen_at.push_back(addresses_.server(tier, s, b));
-  server(tier, s).start(listen_at, slow_start);
+void ServerFleet::start_server(int tier, int server_index, bool slow_start) {
+  std::vector<transport::Address> listen_addresses;
+  listen_addresses.reserve(static_cast<std::size_t>(spec(tier).balancers));
+  for (int b = 0; b < spec(tier).balancers; ++b)
+    listen_addresses.push_back(addresses_.server(tier, server_index, b));
+  server(tier, server_index).start(listen_addresses, slow_start);
 }
 
 std::string ServerFleet::endpoint_list(int tier, int balancer) const {
   return tiers_[static_cast<std::size_t>(tier)].discovery->complete_list(balancer);
 }
 
-std::vector<FaultInjection> ServerFleet::injections_for(int tier, int s) const {
+std::vector<FaultInjection> ServerFleet::injections_for(int tier, int server_index) const {
   std::vector<FaultInjection> injections;
   for (const auto& injection : experiment_.injections)
-    if (injection.target.empty() || injection.target == server_name(tier, s)) injections.push_back(injection);
+    if (injection.target.empty() || injection.target == server_name(tier, server_index))
+      injections.push_back(injection);
   return injections;
 }
 
 void ServerFleet::create_relays(int tier, double begin_ms) {
-  auto& at = at_tier(tier);
-  for (int s = 0; s < spec(tier).servers; ++s) {
-    auto injections = injections_for(tier, s);
+  auto& at = tier_state(tier);
+  for (int server_index = 0; server_index < spec(tier).servers; ++server_index) {
+    auto injections = injections_for(tier, server_index);
     for (int b = 0; b < spec(tier).balancers; ++b) {
-      const auto number = static_cast<std::uint64_t>(s) * 64 + static_cast<std::uint64_t>(b);
+      const auto number = static_cast<std::uint64_t>(server_index) * 64 + static_cast<std::uint64_t>(b);
       auto seed = mixed(seed_, "plan", number);
       auto& plan = at.plans.emplace_back(std::make_unique<InjectionPlan>(injections, seed));
-      at.relays.push_back(std::make_unique<Relay>(context_, addresses_.relay(tier, s, b),
-                                                  addresses_.server(tier, s, b), *plan, begin_ms));
+      at.relays.push_back(std::make_unique<Relay>(context_, addresses_.relay(tier, server_index, b),
+                                                  addresses_.server(tier, server_index, b), *plan, begin_ms));
     }
   }
 }
@@ -148,7 +155,7 @@
   for (int tier = 0; tier < static_cast<int>(experiment_.tiers.size()); ++tier)
     if (spec(tier).relays) create_relays(tier, at_ms);
   actions_ = schedule_actions(experiment_, seed_);
-  // BalancerProcesses carries out the actions on balancers.
+  // BalancerProcesses applies the actions on balancers.
   std::erase_if(actions_, [](const Action& action) { return action.targets_balancer(); });
   next_action_ = 0;
   on_timer(0);
@@ -156,28 +163,29 @@
 
 void ServerFleet::on_timer(std::uint64_t) {
   while (next_action_ < actions_.size() && begin_ms_ + actions_[next_action_].at_ms <= context_.now_ms)
-    carry_out(actions_[next_action_++]);
-  bool more = next_action_ < actions_.size();
-  set_timer(0, timer_, more ? begin_ms_ + actions_[next_action_].at_ms : transport::DueTimes::none);
+    apply_action(actions_[next_action_++]);
+  bool has_more = next_action_ < actions_.size();
+  set_timer(0, timer_, has_more ? begin_ms_ + actions_[next_action_].at_ms : transport::DueTimes::none);
 }
 
-void ServerFleet::announce(int tier, int s, DiscoveryEndpoint::Health health) {
-  std::vector<double> delay_ms;
-  delay_ms.reserve(static_cast<std::size_t>(spec(tier).balancers));
+void ServerFleet::announce(int tier, int server_index, DiscoveryEndpoint::Health health) {
+  std::vector<double> delays_ms;
+  delays_ms.reserve(static_cast<std::size_t>(spec(tier).balancers));
   for (int b = 0; b < spec(tier).balancers; ++b)
-    delay_ms.push_back(spec(tier).notification_delay_ms * (1 + uniform(rng_)));
+    delays_ms.push_back(spec(tier).notification_delay_ms * (1 + uniform(rng_)));
   bool active = health == DiscoveryEndpoint::Health::active;
-  at_tier(tier).discovery->update(s, health, active ? server(tier, s).started_at_ms() : 0, delay_ms);
+  tier_state(tier).discovery->update(server_index, health,
+                                     active ? server(tier, server_index).started_at_ms() : 0, delays_ms);
 }
 
-void ServerFleet::carry_out(const Action& action) {
+void ServerFleet::apply_action(const Action& action) {
   using Kind = Action::Kind;
   using Health = DiscoveryEndpoint::Health;
   const int tier = action.tier;
   const int target = action.target_index;
   switch (action.kind) {
     case Kind::discovery_silent:
-      return at_tier(tier).discovery->set_silent(action.value > 0);
+      return tier_state(tier).discovery->set_silent(action.value > 0);
     case Kind::stop:
       return server(tier, target).stop();
     case Kind::start_in_slow_start:
@@ -189,15 +197,15 @@
     case Kind::announce_active:
       return announce(tier, target, Health::active);
     default:
-      return carry_out_at_model(action);
+      return apply_to_model(action);
   }
 }
 
-void ServerFleet::carry_out_at_model(const Action& action) {
+void ServerFleet::apply_to_model(const Action& action) {
   using Kind = Action::Kind;
   auto& at = server(action.tier, action.target_index);
   auto* model = at.model();
-  if (!model) return;  // the server has stopped meanwhile
+  if (!model) return;  // the server is stopped
   if (action.kind == Kind::drain) model->drain(action.value > 0);
   if (action.kind == Kind::slow) model->slow(action.value > 0 ? action.value : 1);
   if (action.kind == Kind::fail) model->fail(action.value);
@@ -213,13 +221,14 @@
 }
 
 std::shared_ptr<DeduplicationCache> ServerFleet::deduplication_cache(const RequestClassSpec& request_class,
-                                                                     int tier, int s) {
+                                                                     int tier, int server_index) {
   int block = spec(tier).block;
   std::string name = request_class.name + "/";
-  if (request_class.scope == DeduplicationScope::zone) name += std::to_string(experiment_.zone_of(tier, s));
+  if (request_class.scope == DeduplicationScope::zone)
+    name += std::to_string(experiment_.zone_of(tier, server_index));
   if (request_class.scope == DeduplicationScope::block)
-    name += block > 0 ? std::to_string(s / block) : "s" + std::to_string(s);
-  auto& cache = at_tier(tier).deduplication_caches[name];
+    name += block > 0 ? std::to_string(server_index / block) : "s" + std::to_string(server_index);
+  auto& cache = tier_state(tier).deduplication_caches[name];
   if (!cache) cache = std::make_shared<DeduplicationCache>();
   return cache;
 }
@@ -228,7 +237,7 @@
                        std::string_view parent_id, int number, double deadline_ms) {
   const auto* called_class = this->request_class(request_class.downstream_class);
   int tier = from.tier();
-  auto* client = at_tier(tier).client.get();
+  auto* client = tier_state(tier).client.get();
   if (!called_class || !client || deadline_ms - context_.now_ms < 1) return false;
   std::string id(parent_id);
   id += "c" + std::to_string(number) + ".1";
@@ -279,9 +288,9 @@
   return front_balancers_[static_cast<std::size_t>(group)].pick(group, context_.now_ms);
 }
 
-void ServerFleet::on_server_crashed(int tier, int s) {
-  history_.server_crashes.push_back({tier, s, context_.now_ms});
-  announce(tier, s, DiscoveryEndpoint::Health::left);
+void ServerFleet::on_server_crashed(int tier, int server_index) {
+  history_.server_crashes.push_back({tier, server_index, context_.now_ms});
+  announce(tier, server_index, DiscoveryEndpoint::Health::left);
 }
 
 std::vector<InjectedFault> ServerFleet::injected_faults() const {
