--- a/src/fleet/config.cpp
+++ b/src/fleet/config.cpp
@@ -50,12 +50,12 @@
  public:
   void read(Reader& table) {
     FleetMember member;
-    table.need("name");
+    table.require_key("name");
     table.get("name", member.name);
     if (member.name.size() > membership::max_name_bytes)
-      table.wrong("name", "is longer than " + std::to_string(membership::max_name_bytes));
+      table.report_problem("name", "is longer than " + std::to_string(membership::max_name_bytes));
     table.require_unique("name", member.name, names_);
-    table.need("address");
+    table.require_key("address");
     table.get_parsed("address", member.address);
     table.require_unique("address", member.address.text(), addresses_);
     table.get("zone", member.zone);
@@ -74,9 +74,9 @@
 
 // Reads the keys of [fleet], which docs/operate/fleet.md describes.
 void read_fleet(Reader& table, FleetConfig& config) {
-  table.need("name");
+  table.require_key("name");
   table.get("name", config.name);
-  table.need("listen");
+  table.require_key("listen");
   table.get_parsed("listen", config.listen);
   table.get("lease_ms", config.terms.lease_ms, 100, 60000);
   table.get("every_ms", config.timing.interval_ms, 20, 10000);
@@ -86,15 +86,15 @@
   table.get("suspected_ms", config.timing.suspected_after_ms, 100, 600000);
   table.get("gone_ms", config.timing.gone_after_ms, 100, 3600000);
   if (config.timing.gone_after_ms < config.timing.suspected_after_ms)
-    table.wrong("gone_ms", "is below suspected_ms");
+    table.report_problem("gone_ms", "is below suspected_ms");
   MemberReader members;
-  table.need("peers");
+  table.require_key("peers");
   table.each("peers", [&](Reader& peer) { members.read(peer); });
   config.members = members.members();
   if (!config.name.empty() && !members.has(config.name))
-    table.wrong("name", "is not among the peers: " + config.name);
+    table.report_problem("name", "is not among the peers: " + config.name);
   if (config.members.size() > max_members)
-    table.wrong("peers", "exceed the maximum of " + std::to_string(max_members));
+    table.report_problem("peers", "exceed the maximum of " + std::to_string(max_members));
 }
 
 // Sets this instance's share of each limit: its weight divided by the sum of all weights.
@@ -109,15 +109,17 @@
 void check_limits(Reader& root, const LimitTerms& terms) {
   std::set<std::string> names;
   for (const auto& limit : terms.limits) {
-    if (!names.insert(limit.name).second) root.wrong("limits", "contain a duplicate: " + limit.name);
+    if (!names.insert(limit.name).second) root.report_problem("limits", "contain a duplicate: " + limit.name);
     // A request takes a whole token at the instance where it arrives, so its bucket must hold at least
     // one token without leases.
     if (fixed_burst_share * limit.burst / terms.instances < 1)
-      root.wrong("limits", "leave less than one request at each instance: burst of " + limit.name +
-                               " is below " + to_text(std::ceil(terms.instances / fixed_burst_share)));
+      root.report_problem("limits", "leave less than one request at each instance: burst of " + limit.name +
+                                        " is below " +
+                                        to_text(std::ceil(terms.instances / fixed_burst_share)));
   }
   if (terms.limits.size() > membership::max_limits)
-    root.wrong("limits", "of the fleet exceed the maximum of " + std::to_string(membership::max_limits));
+    root.report_problem("limits",
+                        "of the fleet exceed the maximum of " + std::to_string(membership::max_limits));
 }
 
 }  // namespace
@@ -170,12 +172,12 @@
   table.get("tenant", limit.tenant_name);
   table.get("prefix", limit.request_class_name);
   if (limit.tenant_name.empty() && limit.request_class_name.empty())
-    table.wrong("tenant", "or prefix is required");
+    table.report_problem("tenant", "or prefix is required");
   limit.name = limit.tenant_name.empty() ? "*" : limit.tenant_name;
   limit.name += "/" + (limit.request_class_name.empty() ? "*" : limit.request_class_name);
-  table.need("rate");
+  table.require_key("rate");
   table.get("rate", limit.rate, 0.001, 1e7);
-  table.need("burst");
+  table.require_key("burst");
   table.get("burst", limit.burst, 0, 1e7);
   int kind = 0;
   table.choose("kind", kind, {"hard"});
@@ -185,7 +187,8 @@
 std::optional<FleetConfig> FleetConfigReader::read(Reader& root, const std::vector<std::string>& tenants,
                                                    const std::vector<std::string>& request_classes) {
   if (!root.has("fleet")) {
-    if (!limits_.empty()) root.wrong("limits", "contain fleet limits, but the file has no [fleet] table");
+    if (!limits_.empty())
+      root.report_problem("limits", "contain fleet limits, but the file has no [fleet] table");
     return {};
   }
   FleetConfig config;
@@ -193,7 +196,7 @@
   set_own_share(config);
   config.terms.limits = limits_;
   for (const auto& name : config.resolve_names(tenants, request_classes))
-    root.wrong("limits", "name a tenant or a path prefix that is not there: " + name);
+    root.report_problem("limits", "name a tenant or a path prefix that is not there: " + name);
   check_limits(root, config.terms);
   return config;
 }
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -164,7 +164,7 @@
 
 bool ConcurrencyLimiter::is_full_by_report(const Request& request, const Endpoint& endpoint,
                                            double now_ms) const {
-  double objective_ms = classes_.of(request).settings.target_ms;
+  double objective_ms = classes_.of(request).settings.latency_objective_ms;
   return load_.queue_ms(endpoint, now_ms) > capacity_share(request) * max_report_queue_share * objective_ms;
 }
 
@@ -172,7 +172,7 @@
                                           double now_ms) const {
   double capacity_fraction = slow_start_.capacity_fraction(endpoint, now_ms);
   return load_.predicted_ms(request, endpoint, capacity_fraction) >
-         capacity_share(request) * classes_.of(request).settings.target_ms;
+         capacity_share(request) * classes_.of(request).settings.latency_objective_ms;
 }
 
 void ConcurrencyLimiter::record_decision(bool rejected) {
@@ -188,15 +188,16 @@
                                          double now_ms) {
   // Within one latency objective after the start only short requests have completed, which biases the mean
   // low.
-  if (now_ms - started_at_ms_ <= request_class.settings.target_ms) return;
+  if (now_ms - started_at_ms_ <= request_class.settings.latency_objective_ms) return;
   double slow_gain = std::max(baseline_gain, 1.0 / ++response_count_);
   double fast_gain = std::max(recent_gain, slow_gain);
   double relative_latency = update_relative_latency(request_class, took_ms);
-  blend(learned_.mean_ms, took_ms / relative_latency, slow_gain);
-  blend(learned_.recent_ms, took_ms / relative_latency, fast_gain);
-  blend(recent_objective_ms_, request_class.settings.target_ms / relative_latency, fast_gain);
-  blend(mean_relative_latency_, relative_latency, slow_gain);
-  blend(learned_.recent_in_flight, attempt.in_flight_at_send, fast_gain);
+  update_average(learned_.mean_ms, took_ms / relative_latency, slow_gain);
+  update_average(learned_.recent_ms, took_ms / relative_latency, fast_gain);
+  update_average(recent_objective_ms_, request_class.settings.latency_objective_ms / relative_latency,
+                 fast_gain);
+  update_average(mean_relative_latency_, relative_latency, slow_gain);
+  update_average(learned_.recent_in_flight, attempt.in_flight_at_send, fast_gain);
 }
 
 // Moves the class's relative latency (class latency / tier latency) towards that of this response; returns
@@ -224,7 +225,7 @@
 }
 
 void ConcurrencyLimiter::record_utilization(double utilization) {
-  blend(learned_.utilization, utilization, recent_gain);
+  update_average(learned_.utilization, utilization, recent_gain);
 }
 
 // The baseline follows a falling mean latency at once. It drifts up towards a higher mean only while less
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -13,9 +13,9 @@
 struct OutlierState {
   double successes = 0;
   double failures = 0;
-  double log_latency_excess = 0;  // sum of log(latency / mean latency of the class)
-  double latency_samples = 0;     // number of latencies in that sum
-  double decayed_at_ms = 0;       // time of the last decay of the four values
+  double log_latency_excess_sum = 0;  // sum of log(latency / mean latency of the class)
+  double latency_samples = 0;         // number of latencies in that sum
+  double decayed_at_ms = 0;           // time of the last decay of the four values
   double ejected_until_ms = 0;
   double healthy_since_ms = 0;
   int ejections = 0;                  // consecutive
--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -176,7 +176,7 @@
 }
 
 EndpointIndex EndpointPicker::pick_by_affinity(const Request& request, double now_ms) {
-  double objective_ms = parts_.classes.of(request).settings.target_ms;
+  double objective_ms = parts_.classes.of(request).settings.latency_objective_ms;
   return parts_.affinity.pick(request, objective_ms, candidates_, now_ms);
 }
 
--- a/src/policy/endpoint_updater.cpp
+++ b/src/policy/endpoint_updater.cpp
@@ -63,7 +63,7 @@
   endpoint.server_kind = std::max(0, entry.server_kind);
   outliers_.add_server_kind(endpoint.server_kind);
   load_.add_server_kind(endpoint.server_kind);
-  endpoint.weight = settings_.weighted && entry.weight > 0 ? entry.weight : 1;
+  endpoint.weight = settings_.uses_list_weights && entry.weight > 0 ? entry.weight : 1;
   endpoint.up_since_ms = std::max(endpoint.up_since_ms, entry.up_since_ms);
   endpoint.state = entry.state;
 }
--- a/src/policy/hedging_policy.cpp
+++ b/src/policy/hedging_policy.cpp
@@ -26,7 +26,7 @@
 bool HedgingPolicy::should_hedge(const Request& request, double now_ms) const {
   const auto& endpoint = parts_.endpoints[request.sent_attempts().back().endpoint];
   bool is_outlier =
-      OutlierDetector::ejected(endpoint, now_ms) || parts_.outliers.unresponsive(endpoint, now_ms);
+      OutlierDetector::is_ejected(endpoint, now_ms) || parts_.outliers.is_unresponsive(endpoint, now_ms);
   return (is_short(request) || is_outlier) && parts_.retries.may_retry(Outcome::timeout, now_ms);
 }
 
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -94,7 +94,7 @@
 }
 
 void LoadEstimator::record_hint(double work_ms) {
-  if (work_ms > 0) blend(mean_work_ms_, work_ms, hint_gain);
+  if (work_ms > 0) update_average(mean_work_ms_, work_ms, hint_gain);
 }
 
 // The latest report on an endpoint replaces the previous report, whichever balancer received it. Reports are
@@ -133,7 +133,7 @@
                                  double now_ms) {
   double depth = std::max(0.0F, report.values[static_cast<std::size_t>(settings_.depth_column)]) + 1;
   double work_ms = std::max(1.0, now_ms - attempt.sent_at_ms) / depth;
-  blend(mean_work_ms_, work_ms, std::max(work_gain, 1.0 / ++work_samples_));
+  update_average(mean_work_ms_, work_ms, std::max(work_gain, 1.0 / ++work_samples_));
   double expected_ms = queue_latency_ms(depth, mean_work_ms_);
   if (!std::isfinite(expected_ms)) return;
   endpoint.load.response_ms = expected_ms;
--- a/src/policy/locality_router.cpp
+++ b/src/policy/locality_router.cpp
@@ -91,13 +91,15 @@
   double& reported_at_ms = is_remote_endpoint ? remote_reported_at_ms_ : local_reported_at_ms_;
   double gain = 1 - std::exp((reported_at_ms - now_ms) / report_time_constant_ms);
   gain = std::clamp(gain, min_report_gain, max_report_gain);
-  blend(is_remote_endpoint ? learned_.remote_utilization : learned_.local_utilization, utilization, gain);
+  update_average(is_remote_endpoint ? learned_.remote_utilization : learned_.local_utilization, utilization,
+                 gain);
   reported_at_ms = now_ms;
 }
 
 void LocalityRouter::record_duration(const Endpoint& endpoint, double took_ms) {
   if (!has_cross_zone_cost()) return;
-  blend(is_remote(endpoint) ? learned_.remote_latency_ms : learned_.local_latency_ms, took_ms, duration_gain);
+  update_average(is_remote(endpoint) ? learned_.remote_latency_ms : learned_.local_latency_ms, took_ms,
+                 duration_gain);
 }
 
 // Returns by how much the own zone's utilization exceeds the allowed value; negative if it does not.
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -57,7 +57,7 @@
   double decay_factor = std::exp((outlier.decayed_at_ms - now_ms) / outcome_decay_ms);
   outlier.successes *= decay_factor;
   outlier.failures *= decay_factor;
-  outlier.log_latency_excess *= decay_factor;
+  outlier.log_latency_excess_sum *= decay_factor;
   outlier.latency_samples *= decay_factor;
   outlier.decayed_at_ms = now_ms;
 }
@@ -115,7 +115,7 @@
   outlier.ejected_or_half_open = true;
   outlier.successes = 0;
   outlier.failures = 0;
-  outlier.log_latency_excess = 0;
+  outlier.log_latency_excess_sum = 0;
   outlier.latency_samples = 0;
   if (outlier.ejections > 1) return;
   events_.emplace_back(EndpointEjected{
@@ -142,8 +142,8 @@
                                               double took_ms) {
   double log_latency = std::log(std::max(1.0, took_ms) * endpoint.weight / endpoints_.mean_weight());
   double excess = request_class.mean_log_latency > 0 ? log_latency - request_class.mean_log_latency : 0;
-  blend(request_class.mean_log_latency, log_latency, class_latency_gain);
-  endpoint.outlier.log_latency_excess += excess;
+  update_average(request_class.mean_log_latency, log_latency, class_latency_gain);
+  endpoint.outlier.log_latency_excess_sum += excess;
   endpoint.outlier.latency_samples += 1;
   auto& kind_excess = server_kind_excess_[static_cast<std::size_t>(endpoint.server_kind)];
   kind_excess += server_kind_gain * (excess - kind_excess);
@@ -155,7 +155,7 @@
   if (!overloaded) share += report_gain * ((failed ? 1 : 0) - share);
 }
 
-bool OutlierDetector::unresponsive(const Endpoint& endpoint, double now_ms) const {
+bool OutlierDetector::is_unresponsive(const Endpoint& endpoint, double now_ms) const {
   if (endpoint.in_flight <= 0) return false;
   double silence_ms = now_ms - endpoint.last_activity_at_ms;
   double multiplier = 1 + (unresponsive_multiplier - 1) / endpoint.in_flight;
@@ -175,7 +175,7 @@
   auto ejection = state(endpoint, now_ms);
   if (ejection == EjectionState::ejected) return false;
   if (ejection == EjectionState::half_open && endpoint.in_flight > 0) return false;
-  return !unresponsive(endpoint, now_ms);
+  return !is_unresponsive(endpoint, now_ms);
 }
 
 // exp(-mean log latency excess), where the mean is over the endpoint's own responses and the prior from its
@@ -183,7 +183,7 @@
 double OutlierDetector::speed_factor(const Endpoint& endpoint) const {
   const auto& outlier = endpoint.outlier;
   double kind_excess = server_kind_excess_[static_cast<std::size_t>(endpoint.server_kind)];
-  double excess = outlier.log_latency_excess + server_kind_prior_samples * kind_excess;
+  double excess = outlier.log_latency_excess_sum + server_kind_prior_samples * kind_excess;
   return std::exp(-excess / (outlier.latency_samples + server_kind_prior_samples));
 }
 
@@ -195,7 +195,7 @@
 // Covers unresponsive endpoints too: a successor does not know what they have in flight, and would take them
 // for idle.
 double OutlierDetector::successor_ejection_until_ms(const Endpoint& endpoint, double now_ms) const {
-  if (!ejected(endpoint, now_ms) && !unresponsive(endpoint, now_ms)) return 0;
+  if (!is_ejected(endpoint, now_ms) && !is_unresponsive(endpoint, now_ms)) return 0;
   return std::max(endpoint.outlier.ejected_until_ms, now_ms + successor_ejection_ms);
 }
 
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -60,10 +60,10 @@
   }
 
   [[nodiscard]] static EjectionState state(const Endpoint& endpoint, double now_ms);
-  [[nodiscard]] static bool ejected(const Endpoint& endpoint, double now_ms) {
+  [[nodiscard]] static bool is_ejected(const Endpoint& endpoint, double now_ms) {
     return state(endpoint, now_ms) == EjectionState::ejected;
   }
-  [[nodiscard]] bool unresponsive(const Endpoint& endpoint, double now_ms) const;
+  [[nodiscard]] bool is_unresponsive(const Endpoint& endpoint, double now_ms) const;
   // Returns whether the endpoint may be picked: it is neither ejected nor unresponsive, has no trial in
   // progress, and is not reported as failing.
   [[nodiscard]] bool is_healthy(const Endpoint& endpoint, double now_ms) const;
--- a/src/policy/policy_core.cpp
+++ b/src/policy/policy_core.cpp
@@ -340,7 +340,8 @@
   int count = 0;
   for (EndpointIndex index : endpoints_.listed()) {
     const auto& endpoint = endpoints_[index];
-    bool is_outlier = OutlierDetector::ejected(endpoint, now_ms) || outliers_.unresponsive(endpoint, now_ms);
+    bool is_outlier =
+        OutlierDetector::is_ejected(endpoint, now_ms) || outliers_.is_unresponsive(endpoint, now_ms);
     bool is_unhealthy = endpoint.state == EndpointState::ready && is_outlier;
     if (is_unhealthy && unhealthy != nullptr) unhealthy->push_back(index);
     if (endpoint.manually_drained || is_unhealthy) ++count;
--- a/src/policy/policy_settings.cpp
+++ b/src/policy/policy_settings.cpp
@@ -18,7 +18,7 @@
                         : group == "zone" ? DeduplicationGroup::zone
                                           : DeduplicationGroup::cell;
   request_class.key_ttl_ms = reader.number(key_prefix + "key_ttl_ms", 0);
-  request_class.target_ms = reader.number(key_prefix + "target_latency_ms", 1000);
+  request_class.latency_objective_ms = reader.number(key_prefix + "target_latency_ms", 1000);
   request_class.priority_weight = reader.number(key_prefix + "earnings", 1);
   return request_class;
 }
@@ -74,7 +74,7 @@
   read_limits(reader, result);
   read_reports(reader, result);
   read_rules(reader, result);
-  result.weighted = reader.text("weights") != "off" && reader.text("weights") != "live";
+  result.uses_list_weights = reader.text("weights") != "off" && reader.text("weights") != "live";
   result.cross_zone_cost = reader.number("fees.cross_zone", 0);
   result.key_affinity = reader.flag("specifics.warm_keys");
   result.uses_subscription = reader.text("discovery") == "subscribe";
--- a/src/policy/policy_settings.hpp
+++ b/src/policy/policy_settings.hpp
@@ -23,8 +23,8 @@
 struct RequestClassSettings {
   Idempotency idempotency = Idempotency::non_idempotent;
   DeduplicationGroup group = DeduplicationGroup::cell;
-  double key_ttl_ms = 0;    // how long servers remember an idempotency key
-  double target_ms = 1000;  // latency objective
+  double key_ttl_ms = 0;               // how long servers remember an idempotency key
+  double latency_objective_ms = 1000;  // latency objective
   double priority_weight = 1;
 
   // Returns whether another attempt may follow an attempt that may have run.
@@ -67,7 +67,7 @@
   double overload_factor = 2;
   double overload_window_ms = 1500;
 
-  bool weighted = false;               // the list's weights are used
+  bool uses_list_weights = false;      // the list's weights are used
   double cross_zone_cost = 0;          // priority weight lost by a request that crosses zones; 0: none
   bool gossip_enabled = false;         // balancers may send each other gossip
   bool key_affinity = false;           // endpoints cache data by request key
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -128,7 +128,7 @@
   double tick_ms = parts_.settings.wire_tick_ms;
   double until_deadline_ms = request.deadline_ms - now_ms - response_reserve_ticks * tick_ms;
   double limit_ms = std::max(tick_ms, until_deadline_ms);
-  double early_limit_ms = parts_.classes.of(request).settings.target_ms * early_limit_share;
+  double early_limit_ms = parts_.classes.of(request).settings.latency_objective_ms * early_limit_share;
   return should_give_up_early(request, early_limit_ms) ? std::min(limit_ms, early_limit_ms) : limit_ms;
 }
 
--- a/src/program/operator_file.cpp
+++ b/src/program/operator_file.cpp
@@ -54,11 +54,11 @@
 // Reads the required `name`, which must not be in `taken` and must be valid in a path and a header.
 std::string read_unique_name(Reader& table, std::set<std::string>& taken) {
   std::string name;
-  table.need("name");
+  table.require_key("name");
   table.get("name", name);
   if (name.empty()) return name;
   if (name.find_first_of("/?#%;, \\\t\r\n\"") != std::string::npos)
-    table.wrong("name", "contains an invalid character");
+    table.report_problem("name", "contains an invalid character");
   table.require_unique("name", name, taken);
   return name;
 }
@@ -89,7 +89,7 @@
     file.table("limits", [this](Reader& table) { read_limits(table); });
     file.table("rules", [this](Reader& table) { read_rules(table); });
     file.table("reports", [this](Reader& table) { read_reports(table); });
-    file.need("path_prefixes");
+    file.require_key("path_prefixes");
     file.each("path_prefixes", [this](Reader& table) { read_request_class(table); });
     file.each("tenants", [this](Reader& table) { read_tenant(table); });
     file.each("servers", [this](Reader& table) { read_server(table); });
@@ -112,7 +112,7 @@
   void set(const std::string& name, bool value) { set(name, std::string(value ? "true" : "false")); }
 
   void read_identity(Reader& file) {
-    file.need("listen");
+    file.require_key("listen");
     file.get("name", setup_.name);
     file.get_parsed("listen", setup_.listen);
     if (!file.has("mgmt")) return;
@@ -128,7 +128,7 @@
     file.get("balancers_in_zone", balancers_in_zone_, 1, max_balancers);
     int number = 0;
     file.get("number", number, 0, max_number);
-    if (number >= balancers_in_zone_) file.wrong("number", "must be less than balancers_in_zone");
+    if (number >= balancers_in_zone_) file.report_problem("number", "must be less than balancers_in_zone");
     set("my_number", number);
     set("specifics.warm_keys", read_bool(file, "warm_keys", false));
     set("fees.cross_zone", read_number(file, "crossing_price", 0, 0, 1));
@@ -143,8 +143,8 @@
       file.get_parsed("discovery", *setup_.discovery);
     }
     if (from_discovery && from_file)
-      file.wrong("servers", "and discovery are mutually exclusive: set only one of them");
-    if (!from_discovery && !from_file) file.wrong("discovery", "or [[servers]] must be set");
+      file.report_problem("servers", "and discovery are mutually exclusive: set only one of them");
+    if (!from_discovery && !from_file) file.report_problem("discovery", "or [[servers]] must be set");
   }
 
   void read_limits(Reader& table) {
@@ -192,10 +192,10 @@
     table.get("columns", columns);
     for (auto& column : columns) {
       if (column.empty() || column.find(',') != std::string::npos)
-        table.wrong("columns", "contains an invalid column name");
+        table.report_problem("columns", "contains an invalid column name");
       column = report_column(column);
     }
-    if (columns.size() > max_report_columns) table.wrong("columns", "contains more than four names");
+    if (columns.size() > max_report_columns) table.report_problem("columns", "contains more than four names");
     set("report.how", std::string(module_modes[mode]));
     set("report.columns", join(columns));
   }
@@ -209,17 +209,18 @@
     set(path + "name", request_classes_.emplace_back(read_unique_name(table, request_class_names_)));
     auto repeat = Repeat::at_most_once;
     std::size_t group = 0;
-    table.need("repeat");
+    table.require_key("repeat");
     table.choose("repeat", repeat, {"read-like", "tagged", "mutating"});
     set(path + "repeat", module_repeats[static_cast<std::size_t>(repeat)]);
     table.choose("group", group, {"all", "zone", "block"});
     set(path + "group", module_groups[group]);
     set(path + "key_ttl_ms", read_duration(table, "key_window_ms", 0));
     if (repeat == Repeat::deduplicated && !table.has("key_window_ms"))
-      table.wrong("repeat", "is tagged, which requires key_window_ms");
+      table.report_problem("repeat", "is tagged, which requires key_window_ms");
     const double target_ms = read_duration(table, "target_latency_ms", 1000, 1);
     const double timeout_ms = read_duration(table, "client_timeout_ms", 10000, 1);
-    if (target_ms > timeout_ms) table.wrong("target_latency_ms", "is greater than client_timeout_ms");
+    if (target_ms > timeout_ms)
+      table.report_problem("target_latency_ms", "is greater than client_timeout_ms");
     set(path + "target_latency_ms", target_ms);
     set(path + "client_timeout_ms", timeout_ms);
     set(path + "earnings", read_number(table, "earnings", 1, 0, 1e6));
@@ -236,10 +237,10 @@
     constexpr int max_block = 1 << 30;
     protocol::EndpointListEntry entry;
     entry.name = read_unique_name(table, server_names_);
-    table.need("address");
+    table.require_key("address");
     table.get("address", entry.dial);
     if (!entry.dial.empty() && !transport::Address::parse(entry.dial))
-      table.wrong("address", "is not a valid address with a port: " + entry.dial);
+      table.report_problem("address", "is not a valid address with a port: " + entry.dial);
     table.require_unique("address", entry.dial, server_addresses_);
     entry.zone = zone_;
     table.get("zone", entry.zone);
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -43,10 +43,10 @@
   // The address makes the name unique, because several balancers may share the folder and the name.
   const auto name = setup.name + "@" + setup.listen.text();
   auto shared = std::make_unique<SharedState>(environment_variable("TMPDIR").value_or(""), name);
-  setup.shared = shared->directory.exists();
+  setup.may_share_address = shared->directory.exists();
   // The admin service starts the listener, so that a process that cannot bind its admin address accepts no
   // clients.
-  setup.later = true;
+  setup.defer_listening = true;
   return shared;
 }
 
--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -45,7 +45,7 @@
           setup.listen,
           {.max_served = divide_descriptors(descriptors_).downstream,
            .max_overflow = divide_descriptors(descriptors_).downstream_overflow},
-          {.shared = setup.shared, .later = setup.later}),
+          {.shared = setup.may_share_address, .later = setup.defer_listening}),
       discovery_({.loop = loop, .pool = pool_, .due_times = due_, .now_ms = now_ms_}, setup.discovery,
                  setup.known.seq, setup.seed, log_, watch_pacing_settings(setup.settings, log_)),
       endpoints_(proxy_settings_, upstreams_, policy_, log_),
--- a/src/proxy/balancer.hpp
+++ b/src/proxy/balancer.hpp
@@ -35,8 +35,8 @@
   transport::Address listen;
   std::optional<transport::Address> discovery;  // absent: `known` is the endpoint list until a reload
   std::optional<transport::Address> mgmt;       // address of the admin server, if any
-  bool shared = false;                          // another process may listen on the same address
-  bool later = false;                           // binds in the constructor, listens in listen()
+  bool may_share_address = false;               // another process may listen on the same address
+  bool defer_listening = false;                 // binds in the constructor, listens in listen()
   std::uint64_t seed = 1;
   std::size_t descriptors = 1024;  // limit of open file descriptors
   std::size_t memory_mb = 192;     // memory limit; half of it is for buffers
@@ -50,8 +50,8 @@
 // Owns the parts of the proxy and runs their event loop.
 class Balancer final {
  public:
-  // Binds, and listens unless `setup.later`. Throws std::system_error on failure. `loop` outlives the
-  // balancer.
+  // Binds, and listens unless `setup.defer_listening`. Throws std::system_error on failure. `loop` outlives
+  // the balancer.
   Balancer(transport::Loop& loop, const Setup& setup, Logger log);
   [[nodiscard]] transport::Address address() const { return downstream_.address(); }
   // Serves until the graceful shutdown has finished.
--- a/src/settings/tree.cpp
+++ b/src/settings/tree.cpp
@@ -207,7 +207,7 @@
   return -1;
 }
 
-void Reader::wrong(std::string_view key, const std::string& text) {
+void Reader::report_problem(std::string_view key, const std::string& text) {
   const Node* at = node_;
   if (const auto* entries = std::get_if<Node::Table>(&node_->value))
     for (const auto& [name, child] : *entries)
@@ -215,12 +215,12 @@
   problem(*at, full_key(key) + " " + text);
 }
 
-void Reader::need(std::string_view key) {
+void Reader::require_key(std::string_view key) {
   if (!has(key)) problem(*node_, full_key(key) + " is missing");
 }
 
 void Reader::require_unique(std::string_view key, const std::string& text, std::set<std::string>& taken) {
-  if (!text.empty() && !taken.insert(text).second) wrong(key, "is used twice: " + text);
+  if (!text.empty() && !taken.insert(text).second) report_problem(key, "is used twice: " + text);
 }
 
 void Reader::end() {
--- a/src/settings/tree.hpp
+++ b/src/settings/tree.hpp
@@ -70,7 +70,7 @@
     if (auto value = T::parse(text))
       output = *value;
     else
-      wrong(key, "is not a valid " + std::string(T::description) + ": " + text);
+      report_problem(key, "is not a valid " + std::string(T::description) + ": " + text);
   }
   // Reads one of `choices`. The output is the enumerator whose value is the index of the word.
   template <class E>
@@ -101,9 +101,9 @@
   }
 
   // Reports a problem with `key` that the caller has found. `text` follows the key's name in the message.
-  void wrong(std::string_view key, const std::string& text);
+  void report_problem(std::string_view key, const std::string& text);
   // Reports a problem if the key is absent.
-  void need(std::string_view key);
+  void require_key(std::string_view key);
   // Reports a problem if `text`, read from `key`, is in `taken`; else adds it. Ignores an empty text.
   void require_unique(std::string_view key, const std::string& text, std::set<std::string>& taken);
   // Reports each key of the table that is not marked as known.
--- a/src/testbed/experiment_reader.cpp
+++ b/src/testbed/experiment_reader.cpp
@@ -53,7 +53,7 @@
     to = from;
     if (in >> dash) in >> to;
     if (from < 0 || to < from || to > max_server_number) {
-      r.wrong(key, "must hold items N or N-M, not: " + text);
+      r.report_problem(key, "must hold items N or N-M, not: " + text);
       continue;
     }
     for (int i = from; i <= to; ++i) numbers.push_back(i);
@@ -69,7 +69,8 @@
   for (const auto& text : texts) {
     std::istringstream in(text);
     double share = -1;
-    if (!(in >> share) || share < 0) r.wrong("zone_shares", "must hold shares of at least 0, not: " + text);
+    if (!(in >> share) || share < 0)
+      r.report_problem("zone_shares", "must hold shares of at least 0, not: " + text);
     shares.push_back(share);
   }
   return shares;
@@ -78,7 +79,7 @@
 // Reads the required key `name`.
 std::string read_name(Reader& r) {
   std::string name;
-  r.need("name");
+  r.require_key("name");
   r.get("name", name);
   return name;
 }
@@ -102,7 +103,7 @@
   r.get("servers", tier.servers, 1, 5000);
   r.get("balancers", tier.balancers, 1, 32);
   r.get("zones", tier.zones);
-  if (tier.zones.empty()) r.wrong("zones", "must not be empty");
+  if (tier.zones.empty()) r.report_problem("zones", "must not be empty");
   read_server_model(r, tier.server);
   r.get("block", tier.block, 0, 5000);
   r.get("idle_ms", tier.idle_ms, 1, max_ms);
@@ -122,12 +123,12 @@
   RequestClassSpec spec;
   spec.name = read_name(r);
   r.get("share", spec.share, 0, 1e6);
-  r.need("repeat");
+  r.require_key("repeat");
   r.choose("repeat", spec.idempotency, {"read-like", "tagged", "mutating"});
   r.choose("group", spec.scope, {"all", "zone", "block"});
   r.get("key_window_ms", spec.deduplication_window_ms, 0, max_ms);
   if (spec.idempotency == Idempotency::deduplicated && spec.deduplication_window_ms <= 0)
-    r.wrong("repeat", "is tagged, which needs key_window_ms");
+    r.report_problem("repeat", "is tagged, which needs key_window_ms");
   r.get("work_ms", spec.work_ms, 0, max_ms);
   r.get("spread", spec.spread, 0, 10);
   r.get("target_latency_ms", spec.latency_objective_ms, 1, max_ms);
@@ -138,7 +139,7 @@
   r.get("calls", spec.downstream_calls, 0, 100);
   r.get("calls_to", spec.downstream_class);
   if (spec.downstream_calls > 0 && spec.downstream_class.empty())
-    r.wrong("calls", "needs calls_to, a path prefix");
+    r.report_problem("calls", "needs calls_to, a path prefix");
   return spec;
 }
 
@@ -151,7 +152,7 @@
 
 PhaseSpec read_phase(Reader& r) {
   PhaseSpec phase;
-  r.need("at");
+  r.require_key("at");
   read_seconds(r, "at", phase.at_ms);
   double duration_ms = 1000;
   read_seconds(r, "for", duration_ms);
@@ -160,16 +161,16 @@
   phase.to = phase.from;
   r.get("to_times", phase.to, 0, 1000);
   r.get("tenant", phase.tenant);
-  if (duration_ms <= 0) r.wrong("for", "must be above 0");
+  if (duration_ms <= 0) r.report_problem("for", "must be above 0");
   return phase;
 }
 
 ZoneChangeSpec read_zone_change(Reader& r) {
   ZoneChangeSpec change;
-  r.need("at");
+  r.require_key("at");
   read_seconds(r, "at", change.at_ms);
   change.zones = read_zone_shares(r);
-  if (change.zones.empty()) r.wrong("zone_shares", "must not be empty");
+  if (change.zones.empty()) r.report_problem("zone_shares", "must not be empty");
   return change;
 }
 
@@ -218,9 +219,10 @@
     if (const auto named = protocol::named_value(setting))
       build.settings.emplace_back(named->name, named->value);
     else
-      r.wrong("set", "must hold items name=value, not: " + setting);
+      r.report_problem("set", "must hold items name=value, not: " + setting);
   }
-  if (direct == !build.program.empty()) r.wrong("program", "must be set, or direct = true, but not both");
+  if (direct == !build.program.empty())
+    r.report_problem("program", "must be set, or direct = true, but not both");
   return build;
 }
 
@@ -228,9 +230,9 @@
   FleetLimit limit;
   r.get("tenant", limit.tenant);
   r.get("prefix", limit.request_class);
-  r.need("rate");
+  r.require_key("rate");
   r.get("rate", limit.rate, 0.001, 1e7);
-  r.need("burst");
+  r.require_key("burst");
   r.get("burst", limit.burst, 1, 1e7);
   return limit;
 }
@@ -249,7 +251,7 @@
 
 DatagramFault read_datagram_fault(Reader& r, double run_ms) {
   DatagramFault fault;
-  r.need("what");
+  r.require_key("what");
   r.choose("what", fault.kind, {"cut", "lose", "delay", "twice", "reorder", "garble"});
   fault.from = read_numbers(r, "from");
   fault.to = read_numbers(r, "to");
@@ -264,9 +266,9 @@
 
 FaultSpec read_fault(Reader& r, double run_ms) {
   FaultSpec fault;
-  r.need("what");
+  r.require_key("what");
   r.choose("what", fault.kind, fault_names);
-  r.need("at");
+  r.require_key("at");
   read_seconds(r, "at", fault.at_ms);
   read_seconds(r, "for", fault.for_ms);
   r.get("tier", fault.tier, 0, 15);
@@ -278,7 +280,7 @@
   r.get("at_once", fault.at_once, 1, 5000);
   r.get("drain_ms", fault.drain_ms, 0, max_ms);
   r.get("down_ms", fault.down_ms, 0, max_ms);
-  if (fault.at_ms >= run_ms) r.wrong("at", "is after the end of the run");
+  if (fault.at_ms >= run_ms) r.report_problem("at", "is after the end of the run");
   return fault;
 }
 
@@ -289,7 +291,7 @@
   for (const auto& text : texts) {
     auto parsed = FaultInjection::parse(text);
     if (const auto* error = std::get_if<FaultInjectionError>(&parsed))
-      r.wrong("strikes", "holds an invalid fault '" + text + "': " + error->text());
+      r.report_problem("strikes", "holds an invalid fault '" + text + "': " + error->text());
     else
       injections.push_back(std::get<FaultInjection>(std::move(parsed)));
   }
@@ -309,7 +311,7 @@
   std::set<std::string> names;
   r.each("builds", [&](Reader& b) {
     auto build = read_build(b);
-    if (!names.insert(build.name).second) b.wrong("name", "is used twice: " + build.name);
+    if (!names.insert(build.name).second) b.report_problem("name", "is used twice: " + build.name);
     experiment.builds.push_back(std::move(build));
   });
   if (experiment.builds.empty())
@@ -327,9 +329,9 @@
   r.get("recovered_tail", experiment.recovered_tail, 0, 100);
   r.get("drain_grace_ms", experiment.drain_grace_ms, 0, max_ms);
   r.get("front_notices_ms", experiment.front_detection_delay_ms, 0, max_ms);
-  r.need("tiers");
+  r.require_key("tiers");
   r.each("tiers", [&](Reader& t) { experiment.tiers.push_back(read_tier(t)); });
-  r.need("path_prefixes");
+  r.require_key("path_prefixes");
   r.each("path_prefixes", [&](Reader& p) { experiment.request_classes.push_back(read_request_class(p)); });
   r.each("tenants", [&](Reader& t) { experiment.tenants.push_back(read_tenant(t)); });
   if (experiment.tenants.empty()) experiment.tenants.push_back({"acme", 1, 0});
@@ -341,7 +343,7 @@
   if (r.has("fleet")) r.table("fleet", [&](Reader& f) { read_fleet(f, experiment.fleet.emplace()); });
   r.each("letters",
          [&](Reader& l) { experiment.datagram_faults.push_back(read_datagram_fault(l, experiment.ms())); });
-  if (!experiment.datagram_faults.empty() && !experiment.fleet) r.wrong("letters", "need a [fleet]");
+  if (!experiment.datagram_faults.empty() && !experiment.fleet) r.report_problem("letters", "need a [fleet]");
   experiment.injections = read_injections(r);
   validate(r, experiment);
   r.end();
