--- a/bench/baselines/plain.cpp
+++ b/bench/baselines/plain.cpp
@@ -9,6 +9,7 @@
 using baselines::max_retries;
 using baselines::State;
 
+// The state and the decisions shared by the baselines.
 class Policy::Core {
  public:
   struct RequestClass {
@@ -32,17 +33,20 @@
                        [](const Attempt& attempt) { return may_have_executed(attempt); });
   }
 
+  // Starts an attempt at a server that the request has not tried, or at any usable server if all were tried.
+  // Fails or rejects the request without a usable server, after the last attempt and after the deadline.
   Decision send(Request& request, double now_ms) {
     ready.clear();
-    for (int tried = 0; tried < 2 && ready.empty(); ++tried)
+    for (int pass = 0; pass < 2 && ready.empty(); ++pass)
       for (std::size_t n = 0; n < state.servers.size(); ++n) {
         const auto i = static_cast<EndpointIndex>(n);
         const auto& s = state.servers[n];
         bool usable =
             s.state == EndpointState::ready || (flaws.ignores_drains && s.state == EndpointState::draining);
-        bool again = std::any_of(request.attempts.begin(), request.attempts.begin() + request.attempt_count,
-                                 [&](const Attempt& attempt) { return attempt.endpoint == i; });
-        if (usable && (tried == 1 || !again)) ready.push_back(i);
+        bool already_tried =
+            std::any_of(request.attempts.begin(), request.attempts.begin() + request.attempt_count,
+                        [&](const Attempt& attempt) { return attempt.endpoint == i; });
+        if (usable && (pass == 1 || !already_tried)) ready.push_back(i);
       }
     if (ready.empty() || request.attempt_count >= max_attempts || now_ms >= request.deadline_ms)
       return finish(request);
@@ -57,13 +61,15 @@
     return {.kind = Decision::attempt, .endpoint = endpoint};
   }
 
+  // The final response: a failure if a non-idempotent request may have executed, otherwise a rejection.
   Decision finish(Request& request) const {
     if (flaws.loses_requests) return {};
     request.answered = true;
     return {.kind = !idempotent(request) && may_have_executed(request) ? Decision::fail : Decision::reject};
   }
 
-  Decision after(Request& request, const AttemptResult& result, double now_ms) {
+  // Records the result of an attempt, then retries the request or ends it.
+  Decision handle_attempt_end(Request& request, const AttemptResult& result, double now_ms) {
     if (result.attempt < 0 || result.attempt >= request.attempt_count ||
         !request.attempts[static_cast<std::size_t>(result.attempt)].in_flight)
       return {};
@@ -105,14 +111,16 @@
   return core_->send(request, now_ms);
 }
 Decision Policy::attempt_ended(Request& request, const AttemptResult& result, double now_ms) {
-  return core_->after(request, result, now_ms);
+  return core_->handle_attempt_end(request, result, now_ms);
 }
 AttemptTimeout Policy::attempt_timeout(const Request& request, double now_ms) {
-  // A balancer that retries non-idempotent requests needs a short timeout for the retry to happen in time.
-  double left_ms = std::max(5.0, request.deadline_ms - now_ms - 10);
-  return {.limit_ms = flaws.retries_non_idempotent ? std::min(left_ms, 60.0) : left_ms};
+  // A broken balancer that retries non-idempotent requests needs a short timeout, so that the retry happens
+  // before the deadline.
+  double remaining_ms = std::max(5.0, request.deadline_ms - now_ms - 10);
+  return {.limit_ms = flaws.retries_non_idempotent ? std::min(remaining_ms, 60.0) : remaining_ms};
 }
-// No baseline retries within a deduplication scope, so no earlier attempt restricts the next endpoint.
+// Baselines do not retry within a deduplication scope, so earlier attempts do not restrict the choice of the
+// next endpoint.
 bool Policy::may_still_be_sent(const Request&, int) const { return true; }
 double Policy::send_by_ms(const Request&, int, double) const { return never; }
 RepeatJudgement Policy::repeat_judgement(const Request&, double) const { return {}; }
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 // One connection of an operator, which carries one command and its reply.
-struct Server::Connection final : transport::Ready {
+struct Server::Connection final : transport::EventHandler {
   Connection(Server& owner, std::uint64_t connection_id, transport::Fd fd)
       : server(owner), id(connection_id), stream(owner.loop_, owner.pool_, std::move(fd), *this, true) {}
   void ready(std::uint32_t /*events*/) override { server.read(*this); }
@@ -70,9 +70,9 @@
 void Server::read(Connection& connection) {
   for (;;) {
     const auto result = connection.stream.fill();
-    if (result == Stream::Got::nothing) break;
-    if (result == Stream::Got::broken) return close(connection);
-    if (result == Stream::Got::end) {
+    if (result == Stream::ReadResult::nothing) break;
+    if (result == Stream::ReadResult::broken) return close(connection);
+    if (result == Stream::ReadResult::end) {
       if (!connection.has_reply) return close(connection);  // discards an incomplete command
       break;
     }
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -44,7 +44,7 @@
 };
 
 // Serves one command per connection. A connection is closed after the reply or at its deadline.
-class Server final : transport::Ready {
+class Server final : transport::EventHandler {
  public:
   // At the maximum, a new connection replaces the oldest one without a command or, if all have one, the
   // oldest.
--- a/src/membership/datagram_socket.hpp
+++ b/src/membership/datagram_socket.hpp
@@ -48,7 +48,7 @@
 
 // Sends, receives and counts datagrams on the event loop. Drops datagrams that are invalid or not from a
 // peer. Owns the descriptor.
-class DatagramSocket final : transport::Ready {
+class DatagramSocket final : transport::EventHandler {
  public:
   // Called for each valid datagram from a peer. `now_ms` is read after the receipt, so that a lease never
   // counts from an earlier time, even if the process was paused in between.
--- a/src/program/fleet_coordinator.hpp
+++ b/src/program/fleet_coordinator.hpp
@@ -23,7 +23,7 @@
 
 // Owns the timer and all fleet state of this process; acts on the timer and on received datagrams. The
 // decisions are made in src/fleet; LeaseExchange, FleetVerdicts and FleetDatagrams carry them out.
-class FleetCoordinator final : public proxy::RequestFilter, transport::Ready {
+class FleetCoordinator final : public proxy::RequestFilter, transport::EventHandler {
  public:
   // `loop` outlives the coordinator. Throws std::system_error if no timer can be created. Retries binding
   // while another process holds the address.
--- a/src/program/signals.hpp
+++ b/src/program/signals.hpp
@@ -10,7 +10,7 @@
 namespace meadowgauge::program {
 
 // Only one instance per process. Owns a signalfd; the signals stay blocked after its destruction.
-class Signals final : transport::Ready {
+class Signals final : transport::EventHandler {
  public:
   // Blocks the signals and ignores SIGPIPE. The loop calls `on_terminate` for SIGTERM and SIGINT, and
   // `on_reload` for SIGHUP. `loop` outlives this object. Throws std::system_error.
--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -6,22 +6,22 @@
 namespace meadowgauge::protocol {
 namespace {
 
-// The text member `name`; empty if absent.
+// The value of the string member `name`; empty if absent or not a string.
 std::string text_member(const Json& entry, std::string_view name) {
   const auto* v = entry.find(name);
   return v && v->text() ? *v->text() : std::string{};
 }
 
-// The number member `name`.
+// The value of the numeric member `name`; absent if missing or not a number.
 std::optional<double> number_member(const Json& entry, std::string_view name) {
   const auto* v = entry.find(name);
   return v ? v->number() : std::nullopt;
 }
 
-// Fills `host`. Returns an error text; empty if the entry is valid.
-std::string read_host(const Json& entry, EndpointListEntry& host) {
+// Parses one entry of the list into `host`. Returns an error text, which is empty for a valid entry.
+std::string read_entry(const Json& entry, EndpointListEntry& host) {
   host.name = text_member(entry, "host");
-  if (host.name.empty()) return "an entry has no host";
+  if (host.name.empty()) return "entry has no host";
   auto health = text_member(entry, "health");
   if (health == "active")
     host.health = EndpointListEntry::Health::active;
@@ -33,7 +33,7 @@
     return host.name + ": unknown health '" + health + "'";
   host.dial = text_member(entry, "dial");
   if (host.dial.empty() && host.health != EndpointListEntry::Health::left)
-    return host.name + ": nowhere to dial";
+    return host.name + ": no dial address";
   host.zone = text_member(entry, "site");
   host.kind = text_member(entry, "class");
   host.block = static_cast<int>(std::clamp(number_member(entry, "block").value_or(-1), -1.0, 1e9));
@@ -53,7 +53,7 @@
   if (const auto* full = value.find("whole")) list.full = full->truth().value_or(false);
   for (const auto& entry : *hosts->list()) {
     EndpointListEntry host;
-    if (auto problem = read_host(entry, host); problem.empty())
+    if (auto problem = read_entry(entry, host); problem.empty())
       list.hosts.push_back(std::move(host));
     else
       list.skipped.push_back(std::move(problem));
--- a/src/protocol/endpoint_list.hpp
+++ b/src/protocol/endpoint_list.hpp
@@ -1,4 +1,5 @@
-// Endpoint lists in the format of discovery and configurations, and the framing of a watch.
+// Parser of endpoint lists, which come from discovery and configurations, and the line framing of a discovery
+// watch.
 #pragma once
 
 #include <cstdint>
@@ -12,32 +13,34 @@
 
 namespace meadowgauge::protocol {
 
-// One endpoint of an endpoint list.
+// One endpoint of an endpoint list. `dial` is the address to connect to.
 struct EndpointListEntry {
   enum class Health : std::uint8_t { active, leaving, left };
-  std::string name, dial, zone, kind;  // `dial`: the address of its connections
-  int block = 0;                       // failure domain (cell); negative: not stated
+  std::string name, dial, zone, kind;
+  int block = 0;  // failure domain (cell); negative: not stated
   Health health = Health::active;
   double weight = 1;
   double started_ms = 0;  // ms of Unix time; 0: not stated
 };
 
+// A full or partial endpoint list.
 struct EndpointList {
-  std::int64_t seq = 0;                  // version, assigned by the writer
-  bool full = false;                     // a full list; otherwise the changed endpoints only
-  std::vector<EndpointListEntry> hosts;  // valid entries, in the order of the list
+  std::int64_t seq = 0;                  // version number, assigned by the writer of the list
+  bool full = false;                     // the list is complete; otherwise it has only the changed endpoints
+  std::vector<EndpointListEntry> hosts;  // valid entries, in their original order
   std::vector<std::string> skipped;      // one error text per invalid entry
 };
 
-// Absent if `value` is not an endpoint list. Skips invalid entries, with an error text in `skipped`.
+// Reads an endpoint list; absent if `value` is not one. Skips invalid entries and adds an error text for each
+// to `skipped`.
 std::optional<EndpointList> read_endpoint_list(const Json& value);
 
-// Splits the bytes of a watch into lines. Drops lines over `max_line_bytes`.
+// Splits the byte stream of a watch into lines. Drops lines longer than `max_line_bytes`.
 class LineReader {
  public:
   static constexpr std::size_t max_line_bytes = 2 << 20;
 
-  // Calls on_line(std::string_view), without line ending, for each line that `in` completes.
+  // Calls on_line(std::string_view) for each line that `in` completes, without its line ending.
   template <class F>
   void feed(std::string_view in, F&& on_line) {
     while (!in.empty()) {
@@ -55,7 +58,7 @@
       dropping_ = false;
     }
   }
-  // Whether a line was dropped since the last call.
+  // Whether a line was dropped since the last call of this function.
   bool take_overflow() { return std::exchange(overflowed_, false); }
 
  private:
@@ -64,7 +67,7 @@
   bool overflowed_ = false;
 };
 
-// Tracks by brackets and quotes whether a JSON value received in pieces is still incomplete.
+// Tracks the open brackets and quotes of a JSON value that arrives in pieces, to tell when it is complete.
 class JsonNesting {
  public:
   void feed(std::string_view text) {
@@ -81,7 +84,7 @@
       }
     }
   }
-  // Whether a string or bracket is open.
+  // Whether a string, an object or a list is unterminated.
   [[nodiscard]] bool open() const { return in_string_ || depth_ > 0; }
 
  private:
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -12,11 +12,12 @@
 namespace meadowgauge::protocol {
 namespace {
 
+// The longest accepted line of chunk framing or of a trailer.
 constexpr std::size_t max_framing_line_bytes = 256;
 
 bool is_control(char c) { return static_cast<unsigned char>(c) < 32; }
 
-// Removes and returns the bytes of `in` up to and including the next \n, or all bytes without a \n.
+// Removes and returns the bytes of `in` up to and including the next \n, or all bytes if there is no \n.
 std::string_view take_line(std::string_view& in) {
   auto newline = in.find('\n');
   auto line = in.substr(0, newline == std::string_view::npos ? in.size() : newline + 1);
@@ -72,8 +73,8 @@
 std::string Message::extract_body() {
   std::string taken;
   for_each_body_segment([&](std::string_view piece) { taken += piece; });
-  // The head is kept: its fields are views of it.
-  bytes_.drop_after(head_size_);
+  // Keeps the head, because the fields are views of it.
+  bytes_.truncate_to(head_size_);
   return taken;
 }
 
@@ -90,7 +91,7 @@
   for_each_body_segment([&](std::string_view part) { piece += part; });
   if (chunked) piece += "\r\n";
   if (!out.append(piece)) return MoveResult::out_of_buffers;
-  bytes_.drop_after(head_size_);
+  bytes_.truncate_to(head_size_);
   partly_forwarded_ = true;
   return MoveResult::moved;
 }
@@ -112,7 +113,7 @@
   return given - in.size();
 }
 
-// Removes bytes of the body from `in`. False: the buffer is full, or there is a fault.
+// Moves body bytes from `in` to the buffer. Returns false if the buffer is full or a fault occurred.
 bool Message::feed_body(std::string_view& in) {
   auto piece = in.substr(0, remaining_);
   if (body_ == Body::streaming) {
@@ -135,10 +136,10 @@
   return true;
 }
 
-// Removes a complete or partial line of the head from `in`. False: it does not fit.
+// Moves a complete or partial line of the head from `in` to the buffer. Returns false if a fault occurred.
 bool Message::feed_head_line(std::string_view& in) {
   auto piece = take_line(in);
-  // The head must fit in one buffer: views of it are contiguous.
+  // The head must fit in one buffer, because the fields are contiguous views of it.
   if (bytes_.size() + piece.size() > transport::buffer_size) {
     fail(Fault::head_too_large);
     return false;
@@ -154,7 +155,8 @@
   return true;
 }
 
-// Removes a complete or partial line of chunk framing or trailer from `in`. False: it does not fit.
+// Removes a complete or partial line of chunk framing or of the trailer from `in`. Returns false if the line
+// is too long.
 bool Message::feed_framing_line(std::string_view& in) {
   auto piece = take_line(in);
   if (framing_.size() + piece.size() > max_framing_line_bytes) {
@@ -169,7 +171,8 @@
   return true;
 }
 
-// `text`: a line without its \n. Refuses a line without \r\n, because parsers differ on where it ends.
+// Parses a line, given without its \n. Rejects a line that does not end with \r\n, because parsers disagree
+// on where such a line ends.
 void Message::parse_line(std::string_view text) {
   if (!text.ends_with('\r')) return fail(Fault::malformed);
   text.remove_suffix(1);
@@ -243,7 +246,7 @@
 
 bool Message::parse_field_line(std::string_view text) {
   auto colon = text.find(':');
-  // This refuses folded lines too: their leading blank is not part of a token.
+  // Also rejects folded lines, because a token has no leading blank.
   if (colon == std::string_view::npos || !is_token(text.substr(0, colon))) return false;
   auto value = trimmed(text.substr(colon + 1));
   for (char c : value)
@@ -252,7 +255,8 @@
   return true;
 }
 
-// Refuses two lengths, or a length with chunks: parsers differ on where such a message ends.
+// Determines how the body ends. Rejects messages with several lengths, or with a length and chunked coding,
+// because parsers disagree on where they end.
 void Message::determine_framing() {
   const int lengths = count("Content-Length");
   const int codings = count("Transfer-Encoding");
@@ -271,7 +275,7 @@
       return fail(Fault::malformed);
     state_ = ParseState::chunk_size;
   } else {
-    // Close-delimited. Requires `Connection: close`, because a truncated response would look complete.
+    // Close-delimited. Requires `Connection: close`; without it, a truncated response would look complete.
     if (body_ != Body::streaming || keep_alive()) return fail(Fault::malformed);
     remaining_ = std::string_view::npos;
     state_ = ParseState::until_close;
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -11,18 +11,18 @@
 
 namespace meadowgauge::protocol {
 
-// Bytes of a body that a message buffers at a time.
+// The number of body bytes that a message buffers at a time.
 inline constexpr std::size_t max_buffered_body = std::size_t{64} * 1024;
-// Bytes of the largest accepted streamed body.
+// The size of the largest accepted streamed body, in bytes.
 inline constexpr std::size_t max_streamed_body = std::size_t{33} * 1024 * 1024;
 inline constexpr std::size_t max_header_fields = 100;
 
-// A header field; views of the message's head.
+// A header field. The views point into the head of its message.
 struct Field {
   std::string_view name, value;
 };
 
-// Why a message is refused. The value is the HTTP status of the response to such a request.
+// Why a message is rejected. The value is the HTTP status of the response to such a request.
 enum class Fault : std::uint16_t {
   none = 0,
   malformed = 400,
@@ -31,41 +31,42 @@
   out_of_buffers = 503
 };
 
-// One message, parsed incrementally. Its bytes are in buffers of the pool: the head in the first buffer, then
-// the body without framing. Names, values and the target are views of the head, valid until reset().
+// One HTTP message, parsed incrementally. Buffers of the pool store the head, which fits in the first buffer,
+// and then the body without its framing. Names, values and the target are views of the head, valid until
+// reset().
 class Message {
  public:
   enum class Kind : std::uint8_t { request, response };
   enum class Body : std::uint8_t {
     buffered,  // buffered whole, up to `max_buffered_body`
-    endless,   // no bound; the caller drains it with extract_body()
-    streaming  // buffers up to `max_buffered_body` at a time; move_body() frees space
+    endless,   // unlimited; the caller drains the buffer with extract_body()
+    streaming  // at most `max_buffered_body` is buffered at a time; move_body() frees space
   };
   enum class MoveResult : std::uint8_t { nothing, moved, out_of_buffers };
 
-  // `pool` outlives the message.
+  // `pool` must outlive the message.
   Message(transport::Pool& pool, Kind kind, Body body = Body::buffered)
       : kind_(kind), body_(body), bytes_(pool) {}
 
-  // Consumes the bytes of `in` that belong to this message; returns their number. Fewer than all: the message
-  // is complete, has a fault, or its buffer is full (streaming body).
+  // Consumes the bytes of `in` that belong to this message and returns their number. The number is smaller
+  // than in.size() if the message is complete, has a fault, or has a streaming body and no buffer space.
   std::size_t feed(std::string_view in);
   // Prepares for the next message. Releases the buffers and invalidates all views.
   void reset();
-  // For the response to HEAD: a length without a body.
+  // Must be called before parsing a response to HEAD, which may state a length but has no body.
   void expect_no_body() { no_body_ = true; }
   [[nodiscard]] bool no_body() const { return no_body_; }
 
   // Whether any byte has been received.
   [[nodiscard]] bool started() const { return state_ != ParseState::start || bytes_.size() > 0; }
-  // Whether the head is received to its end, without a fault so far.
+  // Whether the whole head has been received, without a fault so far.
   [[nodiscard]] bool head_complete() const { return state_ > ParseState::field && fault_ == Fault::none; }
-  // Whether the message is received to its end.
+  // Whether the whole message has been received.
   [[nodiscard]] bool complete() const { return state_ == ParseState::complete; }
-  // After a fault nothing is consumed until reset().
+  // The first error, or `none`. After a fault, feed() consumes nothing until reset().
   [[nodiscard]] Fault fault() const { return fault_; }
 
-  // Of a request. A response has a status.
+  // A request has a method and a target, a response has a status.
   [[nodiscard]] std::string_view method() const { return method_; }
   [[nodiscard]] std::string_view target() const { return target_; }
   [[nodiscard]] int status() const { return status_; }
@@ -77,29 +78,30 @@
   // Whether the connection may carry another message after this one.
   [[nodiscard]] bool keep_alive() const;
   [[nodiscard]] bool is_http_1_0() const { return is_http_1_0_; }
-  // Whether the field is end-to-end: forwarded to the next hop (RFC 9110, 7.6.1).
+  // Whether the field is end-to-end and so forwarded to the next hop (RFC 9110, 7.6.1).
   [[nodiscard]] bool is_forwarded(const Field& field) const;
 
-  // Buffered bytes of the body.
+  // The number of buffered body bytes.
   [[nodiscard]] std::size_t body_size() const { return bytes_.size() - head_size_; }
-  // Streaming body: whether `max_buffered_body` bytes are buffered.
+  // For a streaming body: whether `max_buffered_body` bytes are buffered.
   [[nodiscard]] bool buffer_full() const { return body_size() >= max_buffered_body; }
-  // Streaming body: whether the pool had no buffer in the last feed(), which can be retried later.
+  // For a streaming body: whether the last feed() stopped because the pool had no buffer. The
+  // call can be retried later.
   [[nodiscard]] bool out_of_buffers() const { return out_of_buffers_; }
-  // Whether move_body() has removed part of the body: the message can't be sent again.
+  // Whether move_body() has removed part of the body, so that the message cannot be sent again.
   [[nodiscard]] bool partly_forwarded() const { return partly_forwarded_; }
-  // Whether the stated length exceeds `max_buffered_body`.
+  // Whether the Content-Length exceeds `max_buffered_body`.
   [[nodiscard]] bool exceeds_buffer() const { return length_ && *length_ > max_buffered_body; }
-  // The body's Content-Length; absent for chunked and close-delimited bodies.
+  // The Content-Length; absent for chunked and close-delimited bodies.
   [[nodiscard]] std::optional<std::size_t> length() const { return length_; }
-  // Whether the connection's close ends this response (RFC 9112, 6.3).
+  // Whether the body ends when the connection closes (RFC 9112, 6.3).
   [[nodiscard]] bool close_delimited() const { return state_ == ParseState::until_close; }
-  // Orderly close of the connection; completes a close-delimited response.
+  // To be called when the peer closes the connection in an orderly way. Completes a close-delimited response.
   void connection_closed();
   // Moves the buffered part of the body to `out`, as one chunk if `chunked`. Moves nothing if the pool is out
   // of buffers.
   MoveResult move_body(transport::Chain& out, bool chunked);
-  // Calls f(std::string_view) for each contiguous piece of the buffered body.
+  // Calls f(std::string_view) for each contiguous segment of the buffered body.
   template <class F>
   void for_each_body_segment(F&& f) const {
     bytes_.each(head_size_, f);
@@ -144,20 +146,20 @@
   transport::Chain bytes_;
   ParseState state_ = ParseState::start;
   Fault fault_ = Fault::none;
-  std::size_t line_start_ = 0;  // offset in the head
-  std::string framing_;         // incomplete line of chunk framing
-  std::size_t remaining_ = 0;   // bytes left of the body or the chunk
+  std::size_t line_start_ = 0;  // offset of the current line in the head
+  std::string framing_;         // incomplete line of chunk framing or of the trailer
+  std::size_t remaining_ = 0;   // bytes missing from the body or the chunk
   std::size_t head_size_ = 0, trailer_size_ = 0;
   std::vector<Field> fields_;
   std::string_view method_, target_;
   int status_ = 0;
-  bool is_http_1_0_ = false;         // HTTP/1.0
-  bool empty_line_skipped_ = false;  // before the request line
+  bool is_http_1_0_ = false;
+  bool empty_line_skipped_ = false;  // an empty line before the request line
   bool no_body_ = false;
   bool out_of_buffers_ = false;
   bool partly_forwarded_ = false;
-  std::size_t body_total_ = 0;         // received bytes
-  std::optional<std::size_t> length_;  // by Content-Length
+  std::size_t body_total_ = 0;         // body bytes received so far
+  std::optional<std::size_t> length_;  // the Content-Length
 };
 
 }  // namespace meadowgauge::protocol
--- a/src/protocol/http_writer.cpp
+++ b/src/protocol/http_writer.cpp
@@ -47,7 +47,7 @@
   head.append(name).append(": ").append(value).append("\r\n");
 }
 
-// Appends the end-to-end fields of `message`, without the field `replaced`.
+// Appends the end-to-end fields of `message`, except the field `replaced`.
 void add_forwarded_fields(std::string& head, const Message& message, std::string_view replaced) {
   for (const auto& field : message.fields())
     if (message.is_forwarded(field) && !equals_ignoring_case(field.name, replaced))
@@ -58,12 +58,13 @@
   std::string head;
   head.append(request.method()).append(" ").append(request.target()).append(" HTTP/1.1\r\n");
   add_forwarded_fields(head, request, names::time_budget);
-  if (request.count("Host") == 0) add_field(head, "Host", "");  // required by HTTP/1.1, not by 1.0
+  if (request.count("Host") == 0) add_field(head, "Host", "");  // required by HTTP/1.1, but not by HTTP/1.0
   add_field(head, names::time_budget, std::to_string(std::max(0L, std::lround(std::floor(budget_ms)))));
   return head;
 }
 
-// Only responses with status 200 are forwarded. The load report is for the balancer.
+// The head of a forwarded response, without the load report, which is for the balancer. Only responses with
+// status 200 are forwarded.
 std::string response_head(const Message& response, bool close) {
   std::string head = "HTTP/1.1 200 OK\r\n";
   add_forwarded_fields(head, response, names::load_report);
@@ -71,7 +72,7 @@
   return head;
 }
 
-// Ends the head of a message with a streamed body.
+// Appends the framing of a streamed body and ends the head.
 void add_framing(std::string& head, const Message& message, bool& chunked) {
   chunked = !message.length();
   if (chunked)
@@ -81,9 +82,9 @@
   head += "\r\n";
 }
 
-// Ends the head with the length of the buffered body, and appends both.
+// Adds the length of the buffered body, ends the head, and appends head and body to `out`.
 bool append_with_body(transport::Chain& out, std::string& head, const Message& message) {
-  if (message.no_body()) {  // response to HEAD: states the length of the response to GET
+  if (message.no_body()) {  // a response to HEAD has the length of the response to GET
     if (auto length = message.find("Content-Length"); !length.empty())
       add_field(head, "Content-Length", length);
   } else if (message.body_size() > 0 || message.method() != "GET") {
@@ -121,7 +122,7 @@
 
 bool write_response_head(transport::Chain& out, const Message& response, bool close, bool to_http_1_0,
                          bool& chunked) {
-  // HTTP/1.0 has no chunks: the connection's close ends a body of unknown length.
+  // HTTP/1.0 has no chunked coding, so a body of unknown length ends when the connection closes.
   bool ends_with_connection = to_http_1_0 && !response.length();
   auto head = response_head(response, close || ends_with_connection);
   if (ends_with_connection) {
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -5,47 +5,51 @@
 
 namespace meadowgauge::protocol {
 
+// A recursive-descent parser. Its reading functions advance `position_`; they return false after a syntax
+// error.
 class JsonReader {
  public:
   explicit JsonReader(std::string_view text) : text_(text) {}
 
-  // Reads exactly one value. False: the text is invalid, see error().
+  // Reads exactly one value. Returns false if the text is invalid; see error().
   bool read(Json& into) {
     if (!value(into, 0)) return false;
     skip_space();
-    return at_ == text_.size() || fail(JsonFault::text_after_value);
+    return position_ == text_.size() || fail(JsonFault::text_after_value);
   }
   [[nodiscard]] const JsonError& error() const { return error_; }
 
  private:
-  // Levels of nesting; the bound protects the stack from hostile texts.
+  // The maximum nesting depth; protects the stack from malicious texts.
   static constexpr int max_depth = 64;
 
   bool fail(JsonFault fault) {
-    if (error_.fault == JsonFault::none) error_ = {.fault = fault, .at_byte = at_};
+    if (error_.fault == JsonFault::none) error_ = {.fault = fault, .at_byte = position_};
     return false;
   }
   void skip_space() {
-    while (at_ < text_.size() && std::string_view(" \t\r\n").find(text_[at_]) != std::string_view::npos)
-      ++at_;
+    while (position_ < text_.size() &&
+           std::string_view(" \t\r\n").find(text_[position_]) != std::string_view::npos)
+      ++position_;
   }
+  // Skips white space, and consumes `c` if that is the next character.
   bool take(char c) {
     skip_space();
-    if (at_ >= text_.size() || text_[at_] != c) return false;
-    ++at_;
+    if (position_ >= text_.size() || text_[position_] != c) return false;
+    ++position_;
     return true;
   }
   bool literal(std::string_view name) {
-    if (text_.substr(at_, name.size()) != name) return fail(JsonFault::not_a_value);
-    at_ += name.size();
+    if (text_.substr(position_, name.size()) != name) return fail(JsonFault::not_a_value);
+    position_ += name.size();
     return true;
   }
 
   bool value(Json& into, int depth) {
     if (depth > max_depth) return fail(JsonFault::nested_too_deep);
     skip_space();
-    if (at_ >= text_.size()) return fail(JsonFault::truncated);
-    switch (text_[at_]) {
+    if (position_ >= text_.size()) return fail(JsonFault::truncated);
+    switch (text_[position_]) {
       case '{':
         return object(into.value_.emplace<Json::Object>(), depth);
       case '[':
@@ -67,12 +71,13 @@
   }
 
   bool object(Json::Object& into, int depth) {
-    ++at_;
+    ++position_;
     if (take('}')) return true;
     do {
       skip_space();
       auto& [name, v] = into.emplace_back();
-      if (at_ >= text_.size() || text_[at_] != '"' || !string(name)) return fail(JsonFault::missing_name);
+      if (position_ >= text_.size() || text_[position_] != '"' || !string(name))
+        return fail(JsonFault::missing_name);
       if (!take(':')) return fail(JsonFault::missing_colon);
       if (!value(v, depth + 1)) return false;
     } while (take(','));
@@ -80,7 +85,7 @@
   }
 
   bool list(Json::List& into, int depth) {
-    ++at_;
+    ++position_;
     if (take(']')) return true;
     do {
       if (!value(into.emplace_back(), depth + 1)) return false;
@@ -89,32 +94,34 @@
   }
 
   bool number(Json& into) {
-    auto from = at_;
+    auto from = position_;
     double v = 0;
-    auto rest = text_.substr(at_);
-    auto [end, bad] = std::from_chars(rest.data(), rest.data() + rest.size(), v);
+    auto rest = text_.substr(position_);
+    auto [end, parse_error] = std::from_chars(rest.data(), rest.data() + rest.size(), v);
     // from_chars also accepts inf and nan, which are not JSON.
-    if (bad != std::errc{} || !std::isfinite(v) || (rest[0] != '-' && (rest[0] < '0' || rest[0] > '9')))
+    if (parse_error != std::errc{} || !std::isfinite(v) ||
+        (rest[0] != '-' && (rest[0] < '0' || rest[0] > '9')))
       return fail(JsonFault::not_a_value);
-    at_ += static_cast<std::size_t>(end - rest.data());
-    into.value_ = Json::Number{std::string(text_.substr(from, at_ - from))};
+    position_ += static_cast<std::size_t>(end - rest.data());
+    into.value_ = Json::Number{std::string(text_.substr(from, position_ - from))};
     return true;
   }
 
-  bool four_hex(std::uint32_t& code) {
-    auto digits = text_.substr(at_, 4);
-    auto [end, bad] = std::from_chars(digits.data(), digits.data() + digits.size(), code, 16);
-    if (digits.size() < 4 || bad != std::errc{} || end != digits.data() + 4)
+  // Reads the four hexadecimal digits of a \u escape.
+  bool read_code_unit(std::uint32_t& code) {
+    auto digits = text_.substr(position_, 4);
+    auto [end, parse_error] = std::from_chars(digits.data(), digits.data() + digits.size(), code, 16);
+    if (digits.size() < 4 || parse_error != std::errc{} || end != digits.data() + 4)
       return fail(JsonFault::invalid_unicode_escape);
-    at_ += 4;
+    position_ += 4;
     return true;
   }
 
   bool string(std::string& into) {
-    for (++at_; at_ < text_.size(); ++at_) {
-      char c = text_[at_];
+    for (++position_; position_ < text_.size(); ++position_) {
+      char c = text_[position_];
       if (c == '"') {
-        ++at_;
+        ++position_;
         return true;
       }
       if (static_cast<unsigned char>(c) < 32) return fail(JsonFault::control_character);
@@ -122,23 +129,23 @@
         into += c;
         continue;
       }
-      if (++at_ >= text_.size()) break;
+      if (++position_ >= text_.size()) break;
       constexpr std::string_view escapes = "\"\\/bfnrt";
       constexpr std::string_view meanings = "\"\\/\b\f\n\r\t";
-      if (auto i = escapes.find(text_[at_]); i != std::string_view::npos) {
+      if (auto i = escapes.find(text_[position_]); i != std::string_view::npos) {
         into += meanings[i];
-      } else if (text_[at_] == 'u') {
-        ++at_;
+      } else if (text_[position_] == 'u') {
+        ++position_;
         std::uint32_t code = 0;
         std::uint32_t low = 0;
-        if (!four_hex(code)) return false;
-        if (code >= 0xD800 && code < 0xDC00 && text_.substr(at_, 2) == "\\u") {
-          at_ += 2;
-          if (!four_hex(low)) return false;
+        if (!read_code_unit(code)) return false;
+        if (code >= 0xD800 && code < 0xDC00 && text_.substr(position_, 2) == "\\u") {
+          position_ += 2;
+          if (!read_code_unit(low)) return false;
           code = 0x10000 + ((code - 0xD800) << 10) + (low - 0xDC00);
         }
-        utf8(code, into);
-        --at_;
+        append_utf8(code, into);
+        --position_;
       } else {
         return fail(JsonFault::invalid_escape);
       }
@@ -146,24 +153,25 @@
     return fail(JsonFault::unterminated_string);
   }
 
-  static void utf8(std::uint32_t code, std::string& into) {
-    auto put = [&](std::uint32_t b) { into += static_cast<char>(b); };
-    if (code < 0x80) return put(code);
+  // Appends `code` to `into`, encoded in UTF-8.
+  static void append_utf8(std::uint32_t code, std::string& into) {
+    auto append_byte = [&](std::uint32_t b) { into += static_cast<char>(b); };
+    if (code < 0x80) return append_byte(code);
     if (code < 0x800) {
-      put(0xC0 | code >> 6);
+      append_byte(0xC0 | code >> 6);
     } else if (code < 0x10000) {
-      put(0xE0 | code >> 12);
-      put(0x80 | (code >> 6 & 0x3F));
+      append_byte(0xE0 | code >> 12);
+      append_byte(0x80 | (code >> 6 & 0x3F));
     } else {
-      put(0xF0 | (code >> 18 & 7));
-      put(0x80 | (code >> 12 & 0x3F));
-      put(0x80 | (code >> 6 & 0x3F));
+      append_byte(0xF0 | (code >> 18 & 7));
+      append_byte(0x80 | (code >> 12 & 0x3F));
+      append_byte(0x80 | (code >> 6 & 0x3F));
     }
-    put(0x80 | (code & 0x3F));
+    append_byte(0x80 | (code & 0x3F));
   }
 
   std::string_view text_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
   JsonError error_;
 };
 
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -1,4 +1,4 @@
-// JSON values, and settings flattened to paths.
+// A JSON parser, and the conversion of JSON values to settings.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace meadowgauge::protocol {
 
-// Why a text is not a JSON value: the first error, and its byte offset.
+// Why a text is not a JSON value.
 enum class JsonFault : std::uint8_t {
   none,
   text_after_value,
@@ -29,49 +29,52 @@
   control_character
 };
 
+// The first error of a text, with its byte offset.
 struct JsonError {
   JsonFault fault = JsonFault::none;
   std::size_t at_byte = 0;
 };
 
-// "FAULT at byte N", for logs.
+// Formats the error as "FAULT at byte N", for logs.
 std::string message(const JsonError& error);
 
-// One JSON value; owns its members and elements. Numbers keep their original text.
+// One JSON value. Owns its members and elements.
 class Json {
  public:
   using List = std::vector<Json>;
   using Object = std::vector<std::pair<std::string, Json>>;
   struct Number {
-    std::string text;  // the original text
+    std::string text;  // as in the source, so that settings keep its digits
   };
 
-  // A null. Not implicit: clang checks an implicit constructor while the variant's alternatives are
-  // incomplete, and then treats it as deleted.
+  // Constructs a null. Defined in the source file, because clang checks an implicit constructor while the
+  // variant's alternatives are incomplete, and then treats it as deleted.
   Json();
 
-  // Absent if the text is not exactly one JSON value. `error`: filled then, unless null.
+  // Parses `text`. If it is not exactly one JSON value, returns nothing and fills `error`, unless that is
+  // null.
   static std::optional<Json> parse(std::string_view text, JsonError* error = nullptr);
 
-  // The first member named so; null if there is none, or this is not an object.
+  // The first member named `name`; null if there is none or this is not an object.
   [[nodiscard]] const Json* find(std::string_view name) const;
-  // The value by type; null or absent if it has another type.
+  // The value of the given type; null or absent if this has another type.
   [[nodiscard]] const Object* object() const { return std::get_if<Object>(&value_); }
   [[nodiscard]] const List* list() const { return std::get_if<List>(&value_); }
   [[nodiscard]] const std::string* text() const { return std::get_if<std::string>(&value_); }
   [[nodiscard]] std::optional<double> number() const;
   [[nodiscard]] std::optional<bool> truth() const;
-  // A scalar in the format of settings; empty for null.
+  // A scalar as the text of a setting: spaces and commas of a string become underscores. Empty for null,
+  // objects and lists.
   [[nodiscard]] std::string plain() const;
-  [[nodiscard]] bool simple() const { return object() == nullptr && list() == nullptr; }
+  [[nodiscard]] bool is_scalar() const { return object() == nullptr && list() == nullptr; }
 
  private:
   friend class JsonReader;
   std::variant<std::nullptr_t, bool, Number, std::string, List, Object> value_ = nullptr;
 };
 
-// path=value: nested names joined by dots, lists of scalars by commas, lists of objects as .count, .0, .1,
-// ...
+// Adds `value` to `into` as settings, from paths to texts. Names of nested objects are joined by dots and
+// scalars in a list by commas. A list with nested values becomes PATH.count, PATH.0, PATH.1 and so on.
 template <class Map>
 void flatten(const Json& value, const std::string& path, Map& into) {
   auto below = [&](std::string_view name) {
@@ -83,7 +86,7 @@
     bool nested = false;
     std::string joined;
     for (const auto& v : *list) {
-      nested = nested || !v.simple();
+      nested = nested || !v.is_scalar();
       joined.append(joined.empty() ? "" : ",").append(v.plain());
     }
     if (!nested) {
--- a/src/protocol/load_report.cpp
+++ b/src/protocol/load_report.cpp
@@ -9,7 +9,7 @@
 namespace meadowgauge::protocol {
 namespace {
 
-// Pairs of names for the same figure, in settings and header.
+// Pairs of names for the same figure. Settings and load reports may use either name.
 constexpr std::array<std::pair<std::string_view, std::string_view>, 6> synonyms{{{"concurrent", "inflight"},
                                                                                  {"depth", "queue"},
                                                                                  {"load_share", "util"},
@@ -17,11 +17,12 @@
                                                                                  {"tps", "qps"},
                                                                                  {"err_ps", "eps"}}};
 
+// Upper bound of a utilization.
 constexpr float max_load_share = 4;
-// Bound of all other figures, in the unit of the column.
+// Upper bound of all other figures, in the unit of the column.
 constexpr float max_figure_value = 1e7F;
 
-// Whether the value is negative, not a number, or above the bound of its column.
+// Whether the value is negative, NaN or above the bound of its column.
 bool is_implausible(std::string_view column, float value) {
   bool share = equals_ignoring_case(column, "load_share") || equals_ignoring_case(column, "util");
   return !(value >= 0) || value > (share ? max_load_share : max_figure_value);
@@ -42,7 +43,7 @@
   std::array<bool, max_reported_figures> present{};
   while (!text.empty()) {
     auto item = named_value(take_item(text, " "));
-    if (!item) return {};  // truncated, or not a report
+    if (!item) return {};  // truncated or not a load report
     for (std::size_t i = 0; i < known; ++i) {
       if (!names_same_figure(columns[i], item->name)) continue;
       auto value = parse_number<float>(item->value);
@@ -51,7 +52,7 @@
       present[i] = true;
     }
   }
-  // Stops at the first missing figure, because values are assigned to columns by position.
+  // Stops at the first missing figure, because values are matched to columns by position.
   while (report.count < static_cast<int>(known) && present[static_cast<std::size_t>(report.count)])
     ++report.count;
   return report;
--- a/src/protocol/request_hints.cpp
+++ b/src/protocol/request_hints.cpp
@@ -7,11 +7,12 @@
 namespace meadowgauge::protocol {
 namespace {
 
+// Longer service times are implausible and ignored.
 constexpr double max_work_ms = 3600000;
 
 }  // namespace
 
-// FNV-1a: affinity keys need no resistance to deliberate collisions.
+// FNV-1a. Affinity keys need no protection against deliberate collisions.
 std::uint64_t stable_hash(std::string_view name) {
   constexpr std::uint64_t offset_basis = 0xcbf29ce484222325;
   constexpr std::uint64_t prime = 0x100000001b3;
--- a/src/protocol/request_hints.hpp
+++ b/src/protocol/request_hints.hpp
@@ -1,4 +1,4 @@
-// Parser of the request hints in X-Call-Info: `name=value` items, separated by commas.
+// Parser of the request hints in the header X-Call-Info. Format: name=value,name=value.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +8,14 @@
 
 // A client's hints for the choice of an endpoint.
 struct RequestHints {
-  double work_ms = 0;     // service time at an endpoint; 0: not stated
+  double work_ms = 0;     // expected service time at an endpoint; 0: not stated
   std::uint64_t key = 0;  // affinity key, a stable_hash(); 0: not stated
 };
 
-// Never fails: skips unknown names and implausible values.
+// Parses `text`; skips unknown names and implausible values, and never fails.
 RequestHints read_request_hints(std::string_view text);
 
-// A hash that is the same in every process and version; never 0.
+// A hash that is the same in every process and every version. Never 0.
 std::uint64_t stable_hash(std::string_view name);
 
 }  // namespace meadowgauge::protocol
--- a/src/protocol/target.cpp
+++ b/src/protocol/target.cpp
@@ -6,7 +6,7 @@
 namespace meadowgauge::protocol {
 namespace {
 
-// Layers of percent encoding; a path with more is refused as ambiguous.
+// The maximum number of layers of percent encoding. A path with more layers counts as ambiguous.
 constexpr int max_decodings = 4;
 
 // The value of a hexadecimal digit; -1 for other characters.
@@ -17,7 +17,7 @@
   return -1;
 }
 
-// Decodes one layer of percent encoding; keeps invalid encodings as they are.
+// Decodes one layer of percent encoding; leaves invalid encodings unchanged.
 std::string decoded(std::string_view text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -39,36 +39,37 @@
 }
 
 bool resolves_under_first_segment(std::string_view path) {
-  // Fast path: without these characters all parsers agree.
+  // Fast path: all parsers agree on paths without these characters.
   if (path.find_first_of("%\\") == std::string_view::npos && path.find("/.") == std::string_view::npos)
     return true;
-  std::string plain(path);
+  std::string decoded_path(path);
   for (int i = 0;; ++i) {
-    auto next = decoded(plain);
-    if (next == plain) break;
+    auto next = decoded(decoded_path);
+    if (next == decoded_path) break;
     if (i == max_decodings) return false;
-    plain = std::move(next);
+    decoded_path = std::move(next);
   }
-  // Parsers differ on these separators, and so on the depth of a dot segment.
-  bool doubtful = plain.find('\\') != std::string::npos || plain.find("//") != std::string::npos ||
-                  std::string_view(plain).substr(0, plain.find('?')).size() != plain.size();
-  auto slashes = [](std::string_view t) { return std::count(t.begin(), t.end(), '/'); };
-  doubtful = doubtful || slashes(plain) != slashes(path);
+  // Parsers disagree on these separators, and so on the depth at which a dot segment applies.
+  bool is_ambiguous =
+      decoded_path.find('\\') != std::string::npos || decoded_path.find("//") != std::string::npos ||
+      std::string_view(decoded_path).substr(0, decoded_path.find('?')).size() != decoded_path.size();
+  auto count_slashes = [](std::string_view t) { return std::count(t.begin(), t.end(), '/'); };
+  is_ambiguous = is_ambiguous || count_slashes(decoded_path) != count_slashes(path);
   int depth = 0;
-  bool climbs = false;
-  for (std::size_t at = 0; at < plain.size();) {
-    auto end = std::min(plain.find_first_of("/\\", at), plain.size());
-    auto segment = std::string_view(plain).substr(at, end - at);
+  bool has_parent_segment = false;
+  for (std::size_t at = 0; at < decoded_path.size();) {
+    auto end = std::min(decoded_path.find_first_of("/\\", at), decoded_path.size());
+    auto segment = std::string_view(decoded_path).substr(at, end - at);
     segment = segment.substr(0, segment.find(';'));
     at = end + 1;
     if (segment == "..") {
-      climbs = true;
+      has_parent_segment = true;
       if (--depth < 1) return false;
     } else if (!segment.empty() && segment != ".") {
       ++depth;
     }
   }
-  return !climbs || !doubtful;
+  return !has_parent_segment || !is_ambiguous;
 }
 
 }  // namespace meadowgauge::protocol
--- a/src/protocol/text.cpp
+++ b/src/protocol/text.cpp
@@ -5,7 +5,7 @@
 namespace meadowgauge::protocol {
 namespace {
 
-char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
 bool is_token_char(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
@@ -16,7 +16,7 @@
 
 bool equals_ignoring_case(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
-         std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
+         std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
 
 bool is_token(std::string_view text) {
--- a/src/protocol/watch_reader.hpp
+++ b/src/protocol/watch_reader.hpp
@@ -1,4 +1,4 @@
-// Parses the body of a discovery watch into typed events. A list is one line, or several indented lines.
+// Parser of the body of a discovery watch. A list is one line or several indented lines.
 #pragma once
 
 #include <string>
@@ -10,11 +10,11 @@
 
 namespace meadowgauge::protocol {
 
-// A line is complete: discovery is alive.
+// A line has been received completely, which shows that discovery is alive.
 struct WatchLineReceived {};
 // The list continues on the next line.
 struct EndpointListIncomplete {};
-// Text that is not an endpoint list. Changes may have been lost with it.
+// The watch had text that is not an endpoint list. Endpoint changes may have been lost with it.
 struct UnreadableEndpointList {
   std::string reason;
 };
@@ -22,23 +22,24 @@
 using WatchEvent =
     std::variant<WatchLineReceived, EndpointListIncomplete, EndpointList, UnreadableEndpointList>;
 
-// Reads one complete list from JSON text.
+// Parses one complete list, given as JSON text.
 std::variant<EndpointList, UnreadableEndpointList> parse_endpoint_list(std::string_view text);
 
-// One per watch. Memory is bounded by `max_line_bytes` and `max_list_bytes`.
+// Parses the body of one watch incrementally into typed events. `max_line_bytes` and `max_list_bytes` bound
+// its memory.
 class WatchReader {
  public:
   static constexpr std::size_t max_list_bytes = LineReader::max_line_bytes;
 
-  // The events that `bytes` complete, in order.
+  // Returns the events that `bytes` complete, in order.
   std::vector<WatchEvent> feed(std::string_view bytes);
 
  private:
   void line_ended(std::string_view line, std::vector<WatchEvent>& events);
 
   LineReader lines_;
-  std::string partial_list_;  // the lines received so far
-  JsonNesting nesting_;       // of partial_list_
+  std::string partial_list_;  // the lines of the current list received so far
+  JsonNesting nesting_;       // nesting of partial_list_
 };
 
 }  // namespace meadowgauge::protocol
--- a/src/proxy/discovery/client.cpp
+++ b/src/proxy/discovery/client.cpp
@@ -98,8 +98,8 @@
   if (!stream_->flush()) return fail(DiscoveryError::connection_broken);
   while (true) {
     auto got = stream_->fill();
-    if (got == Stream::Got::nothing) return;
-    if (got != Stream::Got::bytes) return fail(DiscoveryError::connection_closed);
+    if (got == Stream::ReadResult::nothing) return;
+    if (got != Stream::ReadResult::bytes) return fail(DiscoveryError::connection_closed);
     if (!process_response()) return;
   }
 }
--- a/src/proxy/discovery/client.hpp
+++ b/src/proxy/discovery/client.hpp
@@ -29,7 +29,7 @@
 
 // Makes one call at a time, for the complete list or for a watch on changes. Times are in ms of the loop
 // turn's clock. Failures do not throw: the client reports them in updates() and calls again after a backoff.
-class DiscoveryClient final : public transport::Ready {
+class DiscoveryClient final : public transport::EventHandler {
  public:
   static constexpr std::uint8_t due_kind = 3;
 
--- a/src/proxy/downstream/connection.hpp
+++ b/src/proxy/downstream/connection.hpp
@@ -19,7 +19,7 @@
 inline constexpr double send_stall_ms = 10000;
 
 // One client connection. Owned by DownstreamConnections, which contains all the logic.
-struct DownstreamConnections::Connection final : transport::Ready {
+struct DownstreamConnections::Connection final : transport::EventHandler {
   enum class State : std::uint8_t {
     reading,     // receiving a request, or idle between requests
     in_flight,   // the request is unanswered
--- a/src/proxy/downstream/connections.hpp
+++ b/src/proxy/downstream/connections.hpp
@@ -42,7 +42,7 @@
 };
 
 // Owns the listener and all client connections, and sheds connections if descriptors run short.
-class DownstreamConnections final : transport::Ready {
+class DownstreamConnections final : transport::EventHandler {
  public:
   static constexpr std::uint8_t due_kind = 4;  // DueKey kind
 
--- a/src/proxy/downstream/requests.cpp
+++ b/src/proxy/downstream/requests.cpp
@@ -78,8 +78,8 @@
 // incomplete request.
 bool DownstreamConnections::receive(Connection& connection) {
   auto got = connection.stream.fill();
-  if (got == Stream::Got::bytes) return true;
-  if (got != Stream::Got::nothing) close(connection);
+  if (got == Stream::ReadResult::bytes) return true;
+  if (got != Stream::ReadResult::nothing) close(connection);
   return false;
 }
 
--- a/src/proxy/downstream/responses.cpp
+++ b/src/proxy/downstream/responses.cpp
@@ -177,8 +177,8 @@
     if (connection.discarded_bytes > (connection.body_incoming ? protocol::max_streamed_body : linger_bytes))
       return close(connection);
     auto got = connection.stream.fill();
-    if (got == Stream::Got::nothing) return;
-    if (got != Stream::Got::bytes) return close(connection);
+    if (got == Stream::ReadResult::nothing) return;
+    if (got != Stream::ReadResult::bytes) return close(connection);
   }
   connection.stream.again(EPOLLIN);
 }
--- a/src/proxy/upstream/connection.hpp
+++ b/src/proxy/upstream/connection.hpp
@@ -25,7 +25,7 @@
 
 // Owns the socket, and the response until take_response() transfers it. Times are in ms of the loop turn's
 // clock.
-class UpstreamConnection final : transport::Ready {
+class UpstreamConnection final : transport::EventHandler {
  public:
   enum class State : std::uint8_t {
     dialling,   // connecting
--- a/src/proxy/upstream/exchange.cpp
+++ b/src/proxy/upstream/exchange.cpp
@@ -115,12 +115,12 @@
   for (int i = 0; i < max_reads_per_turn; ++i) {
     if (!parse_received(connection, entry)) return;
     auto got = connection.stream().fill();
-    if (got == Stream::Got::nothing) return;
-    if (got == Stream::Got::end && connection.response().close_delimited()) {
+    if (got == Stream::ReadResult::nothing) return;
+    if (got == Stream::ReadResult::end && connection.response().close_delimited()) {
       connection.response().connection_closed();
       return response_complete(connection, entry);
     }
-    if (got != Stream::Got::bytes) return connection_broken(connection, entry);
+    if (got != Stream::ReadResult::bytes) return connection_broken(connection, entry);
     connections_.record_activity(connection.endpoint());
   }
   if (parse_received(connection, entry)) connection.stream().again(EPOLLIN);
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// Header fields of both kinds of frame: the count of records, then the size, and in a batch the clock.
+// Both kinds of frame start with the number of records and the frame size, in 4 bytes each. In a batch, the
+// clock follows.
 constexpr std::size_t clock_offset = 8;
 
 template <class T>
@@ -20,16 +21,16 @@
   switch (fault) {
     case FrameFault::short_header:
       return "batch shorter than its header";
-    case FrameFault::impossible_clock:
-      return "impossible clock";
-    case FrameFault::length_mismatch:
-      return "batch length does not match";
-    case FrameFault::record_count:
-      return "record count does not fit the batch";
-    case FrameFault::tail_bounds:
-      return "tail field out of bounds";
-    case FrameFault::impossible_length:
-      return "impossible batch length";
+    case FrameFault::clock_out_of_range:
+      return "clock out of range";
+    case FrameFault::batch_size_mismatch:
+      return "batch size differs from the size in its header";
+    case FrameFault::record_count_too_large:
+      return "record count exceeds the batch size";
+    case FrameFault::tail_out_of_bounds:
+      return "tail range out of bounds";
+    case FrameFault::batch_size_out_of_range:
+      return "batch size out of range";
     case FrameFault::truncated_input:
       return "input ended within a batch";
     case FrameFault::no_instance_selected:
@@ -37,7 +38,7 @@
     case FrameFault::unknown_endpoint_list:
       return "Registry names a list that was not sent";
   }
-  return "damaged batch";
+  return "unknown frame error";
 }
 
 Batch::Batch(std::span<const char> bytes) {
@@ -45,11 +46,12 @@
   count_ = load<std::uint32_t>(bytes.data());
   now_ms_ = load<double>(bytes.data() + clock_offset);
   // The negated comparison rejects NaN too.
-  if (!(std::abs(now_ms_) < max_clock_ms)) throw FrameError(FrameFault::impossible_clock);
+  if (!(std::abs(now_ms_) < max_clock_ms)) throw FrameError(FrameFault::clock_out_of_range);
   if (load<std::uint32_t>(bytes.data() + frame_size_offset) != bytes.size())
-    throw FrameError(FrameFault::length_mismatch);
-  // Divides, because the sender's count times the record size may overflow.
-  if (count_ > (bytes.size() - batch_header_size) / event_size) throw FrameError(FrameFault::record_count);
+    throw FrameError(FrameFault::batch_size_mismatch);
+  // Divides, because the product of the sender's count and the record size may overflow.
+  if (count_ > (bytes.size() - batch_header_size) / event_size)
+    throw FrameError(FrameFault::record_count_too_large);
   records_ = bytes.data() + batch_header_size;
   const auto tail_start = batch_header_size + count_ * event_size;
   tail_ = {bytes.data() + tail_start, bytes.size() - tail_start};
@@ -57,7 +59,7 @@
 
 std::string_view Batch::tail(std::uint32_t start, std::uint32_t length, std::size_t width) const {
   if (start > tail_.size() || length > (tail_.size() - start) / width)
-    throw FrameError(FrameFault::tail_bounds);
+    throw FrameError(FrameFault::tail_out_of_bounds);
   return tail_.substr(start, length * width);
 }
 
@@ -65,10 +67,10 @@
   body_.assign(reply_header_size, '\0');
   tail_.clear();
   count_ = 0;
-  written_.reset();
+  last_selected_in_reply_.reset();
 }
 
-// One record: its code, then the fields side by side, the rest zero.
+// Appends one record: its code, then the fields without gaps, then zeros.
 template <class... Fields>
 void Reply::append_record(ActionCode code, Fields... fields) {
   static_assert(sizeof code + (std::size_t{0} + ... + sizeof fields) <= action_size);
@@ -81,12 +83,12 @@
   (..., (store(at, fields), at += sizeof fields));
 }
 
-// An action of the selected instance.
+// Appends an action of the selected instance.
 template <class... Fields>
 void Reply::append(ActionCode code, Fields... fields) {
-  if (written_ != selected_) {
+  if (last_selected_in_reply_ != selected_) {
     append_record(ActionCode::select_instance, selected_);
-    written_ = selected_;
+    last_selected_in_reply_ = selected_;
   }
   append_record(code, fields...);
 }
--- a/src/simulator_adapter/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -9,7 +9,7 @@
 
 std::string_view Host::handle(const Batch& batch) {
   reply_.clear();
-  touched_.clear();
+  batch_instances_.clear();
   selected_.reset();
   try {
     for (std::size_t i = 0; i < batch.size(); ++i) handle_event(batch, batch[i]);
@@ -22,7 +22,7 @@
   return reply_.frame();
 }
 
-// Handles the host's own events; all others go to the selected instance.
+// Handles the events of the host itself and passes all others to the selected instance.
 void Host::handle_event(const Batch& batch, Record record) {
   switch (static_cast<EventCode>(record.code())) {
     case EventCode::select_instance:
@@ -49,7 +49,7 @@
     std::fprintf(stderr, "meadowgauge-simulator-adapter: unknown event code %d skipped\n", record.code());
     return;
   }
-  // Events for a stopped instance were in transit when it stopped, so they are ignored.
+  // Ignores events that were in transit when their instance stopped.
   const auto it = selected_ ? instances_.find(*selected_) : instances_.end();
   if (it == instances_.end()) return;
   auto& instance = it->second;
@@ -74,14 +74,14 @@
     case EventCode::endpoint_update:
       return update_endpoints(instance, record, now_ms);
     default:
-      return;  // the host's own events, handled in handle_event()
+      return;  // events of the host, see handle_event()
   }
 }
 
 void Host::select_instance(InstanceId id) {
   selected_ = id;
   reply_.select_instance(id);
-  touched_.insert(id);
+  batch_instances_.insert(id);
 }
 
 void Host::start_instance(const Batch& batch, Record record) {
@@ -104,7 +104,7 @@
 }
 
 void Host::update_timers(double now_ms) {
-  for (const auto id : touched_) {
+  for (const auto id : batch_instances_) {
     const auto it = instances_.find(id);
     if (it == instances_.end()) continue;
     reply_.select_instance(id);
--- a/src/simulator_adapter/host.hpp
+++ b/src/simulator_adapter/host.hpp
@@ -1,4 +1,4 @@
-// Many simulated balancers in one process: dispatches each event of a batch to its instance.
+// The host of all simulated balancers of one process.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +13,17 @@
 
 namespace meadowgauge::simulator_adapter {
 
+// Owns the simulated balancers (instances) and dispatches the events of a batch to them.
 class Host {
  public:
   Host() = default;
   ~Host() = default;
-  // Instances refer to the reply of their host.
+  // Not copyable, because the instances refer to the reply of their host.
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
 
-  // Handles all events of a batch in their order. Returns the reply frame, valid until the next call. Throws
-  // FrameError for a damaged batch; any other error of an instance becomes an action of the reply.
+  // Handles all events of a batch in order. Returns the reply frame, which is valid until the next call.
+  // Throws FrameError for a damaged batch; any other exception becomes a report_fault action of the reply.
   std::string_view handle(const Batch& batch);
 
  private:
@@ -36,11 +37,11 @@
   void update_endpoints(Instance& instance, Record record, double now_ms);
   void update_timers(double now_ms);
 
-  Reply reply_;  // instances write into it, so it is declared before them
+  Reply reply_;  // declared before the instances, which write to it
   std::optional<InstanceId> selected_;
-  std::set<InstanceId> touched_;  // selected in this batch
+  std::set<InstanceId> batch_instances_;  // the instances selected in this batch
   std::map<InstanceId, Instance> instances_;
-  std::map<ListId, std::string> endpoint_lists_;  // as bytes of the wire
+  std::map<ListId, std::string> endpoint_lists_;  // in the wire format
 };
 
 }  // namespace meadowgauge::simulator_adapter
--- a/src/simulator_adapter/instance.cpp
+++ b/src/simulator_adapter/instance.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The nonce of the timer for the module's periodic actions.
+// The nonce of the timer for the periodic actions of the policy.
 constexpr std::uint32_t periodic_nonce = 0;
 
 }  // namespace
@@ -74,7 +74,7 @@
 
 void Instance::timer_expired(std::uint32_t nonce, double now_ms) {
   if (nonce == periodic_nonce) return run_periodic_actions(now_ms);
-  if (nonce != timer_nonce_) return;  // replaced by a sooner timer
+  if (nonce != timer_nonce_) return;  // a sooner timer has replaced it
   timer_at_ms_ = never;
   while (const auto key = due_.first(now_ms))
     requests_.decision_due(proxy::RequestNumber{transport::number_of(*key)}, now_ms);
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,6 +1,6 @@
-// meadowgauge-simulator-adapter: reads batches of events from standard input, writes a reply to each to
-// standard output. Exits with status 0 at the end of input, 1 for damaged input or where the reply cannot be
-// written.
+// meadowgauge-simulator-adapter: reads batches of events from standard input and writes a reply to each batch
+// to standard output. Exits with status 0 at the end of the input, and with 1 if the input is damaged or a
+// reply cannot be written.
 #include <cstdio>
 #include <exception>
 #include <span>
@@ -14,7 +14,8 @@
 
 using namespace meadowgauge::simulator_adapter;
 
-// Fills all of `into`. False: input ended before the first byte, which `may_end` allows.
+// Fills `into` from standard input. Returns false if the input ended before the first byte and `may_end` is
+// set. Throws FrameError if the input ended anywhere else.
 bool read_exactly(std::span<char> into, bool may_end) {
   const auto size = std::fread(into.data(), 1, into.size(), stdin);
   if (size == 0 && may_end && std::feof(stdin) != 0) return false;
@@ -22,12 +23,13 @@
   return true;
 }
 
-// Reads the next batch into `bytes`. False: input has ended.
+// Reads the next batch into `bytes`. Returns false at the end of the input.
 bool read_batch(std::vector<char>& bytes) {
   bytes.resize(batch_header_size);
   if (!read_exactly(bytes, true)) return false;
   const std::size_t size = load<std::uint32_t>(bytes.data() + frame_size_offset);
-  if (size < batch_header_size || size > max_batch_size) throw FrameError(FrameFault::impossible_length);
+  if (size < batch_header_size || size > max_batch_size)
+    throw FrameError(FrameFault::batch_size_out_of_range);
   bytes.resize(size);
   const auto rest = std::span(bytes).subspan(batch_header_size);
   if (!rest.empty()) read_exactly(rest, false);
--- a/src/simulator_adapter/wire_messages.cpp
+++ b/src/simulator_adapter/wire_messages.cpp
@@ -18,9 +18,11 @@
                                    OutcomeCode{60, Outcome::reset},     OutcomeCode{70, Outcome::cancelled},
                                    OutcomeCode{80, Outcome::superseded}};
 
+// Codes of endpoint states; all others mean that the endpoint is gone.
 constexpr std::uint8_t ready_code = 1;
 constexpr std::uint8_t draining_code = 2;
 
+// Bits of the attributes of a request.
 constexpr unsigned has_work_hint = 1;
 constexpr unsigned is_client_retry = 2;
 
--- a/src/simulator_adapter/wire_messages.hpp
+++ b/src/simulator_adapter/wire_messages.hpp
@@ -1,5 +1,6 @@
-// Records of the simulator's wire as typed messages. Field offsets and the codes of outcomes and states are
-// known here only. Every function is total: unknown codes have a defined meaning.
+// Typed messages for the records of the simulator's wire protocol. Only this file knows the offsets of fields
+// and the codes of outcomes and states. The functions accept every record: unknown codes have a defined
+// meaning.
 #pragma once
 
 #include <cstdint>
@@ -18,23 +19,24 @@
   std::uint32_t length = 0;
 };
 
-// Starts an instance; replaces an instance with the same number.
+// Starts the selected instance, and replaces it if it runs already.
 struct StartInstance {
   std::uint64_t seed = 0;
   TailRef settings;
 };
 
-// A list of endpoints, kept under its number until updates refer to it.
+// Stores a list of endpoints under the number `list`, for the updates that refer to it.
 struct EndpointListMessage {
   std::uint16_t list = 0;
   TailRef entries;
 };
 
-// An update of an instance's endpoint list. Kinds beyond those of EndpointListUpdate are ignored.
+// Updates the endpoint list of an instance. `kind` is a value of EndpointListUpdate; unknown kinds are
+// ignored.
 struct EndpointUpdate {
   std::uint8_t kind = 0;
   std::uint16_t list = 0;
-  // A failed update names no list.
+  // Whether the update refers to a list; a failed update does not.
   [[nodiscard]] bool has_list() const {
     return kind != static_cast<std::uint8_t>(EndpointListUpdate::failed);
   }
@@ -43,21 +45,25 @@
   }
 };
 
+// A client has sent a request.
 struct RequestArrived {
   proxy::RequestNumber number{};
   Request request;
 };
 
+// The response to an attempt has started.
 struct AttemptStarted {
   proxy::RequestNumber number{};
   int attempt = 0;
 };
 
+// An attempt has ended.
 struct AttemptEnded {
   proxy::RequestNumber number{};
   AttemptResult result;
 };
 
+// A load probe of `upstream` has ended.
 struct ProbeDone {
   std::uint32_t upstream = 0;
   Outcome outcome = Outcome::error;
@@ -74,18 +80,18 @@
 ProbeDone read_probe_done(Record record);
 // The request whose client has disconnected.
 proxy::RequestNumber read_client_gone(Record record);
-// Where the bytes of another instance's gossip are.
+// The range of the gossip bytes of another instance.
 TailRef read_gossip(Record record);
 // The nonce of an expired timer.
 std::uint32_t read_timer(Record record);
-// The instance that the following records are for.
+// The instance that the following records belong to.
 std::uint16_t read_select_instance(Record record);
 
-// Appends the entries of a list; the caller sets each entry's `endpoint`. Bytes after the last whole
-// entry are ignored.
+// Parses the entries of a list and appends them to `entries`, without setting their `endpoint`. Ignores bytes
+// after the last complete entry.
 void read_endpoint_entries(std::string_view bytes, std::vector<EndpointEntry>& entries);
 
-// Settings as `path=value` lines; a line without `=` or without a path is skipped.
+// Parses settings, one `path=value` per line. Skips lines without `=` or without a path.
 Settings parse_settings(std::string_view text);
 
 }  // namespace meadowgauge::simulator_adapter
--- a/src/testbed/load_generator.hpp
+++ b/src/testbed/load_generator.hpp
@@ -27,7 +27,7 @@
   int count = 1;
 };
 
-class LoadGenerator final : HttpClient::Handler, transport::Ready, TestbedContext::Component {
+class LoadGenerator final : HttpClient::Handler, transport::EventHandler, TestbedContext::Component {
  public:
   // `targets`: the balancers of the first tier, or its servers. `context`, `experiment` and `counts` outlive
   // the generator. Throws std::system_error if the timer cannot be created.
--- a/src/testbed/runner.cpp
+++ b/src/testbed/runner.cpp
@@ -29,7 +29,7 @@
 // Returns a port that is free at present. All listeners of a run use this port on different loopback
 // addresses.
 int free_port() {
-  struct Ignore final : transport::Ready {
+  struct Ignore final : transport::EventHandler {
     void ready(std::uint32_t) override {}
   } ignore;
   transport::Loop loop;
--- a/src/testbed/stand_ins/command_server.cpp
+++ b/src/testbed/stand_ins/command_server.cpp
@@ -25,8 +25,8 @@
   if (!connection.stream.flush()) return close(connection);
   for (;;) {
     auto got = connection.stream.fill();
-    if (got == Stream::Got::nothing) return;
-    if (got != Stream::Got::bytes) return close(connection);
+    if (got == Stream::ReadResult::nothing) return;
+    if (got != Stream::ReadResult::bytes) return close(connection);
     connection.unread += connection.stream.bytes();
     connection.stream.consume(connection.stream.bytes().size());
     if (!answer_lines(connection) || connection.unread.size() > max_command_bytes) return close(connection);
--- a/src/testbed/stand_ins/command_server.hpp
+++ b/src/testbed/stand_ins/command_server.hpp
@@ -14,7 +14,7 @@
 
 namespace meadowgauge::testbed {
 
-class CommandServer final : transport::Ready, TestbedContext::Component {
+class CommandServer final : transport::EventHandler, TestbedContext::Component {
  public:
   // Takes a command without its line end; returns the reply with its line end.
   using Handler = std::function<std::string(const std::string& command)>;
@@ -25,7 +25,7 @@
   void cleanup() override { closed_.clear(); }
 
  private:
-  struct Connection final : transport::Ready {
+  struct Connection final : transport::EventHandler {
     Connection(CommandServer& owner, std::uint64_t connection_number, transport::Fd fd)
         : server(owner),
           number(connection_number),
--- a/src/testbed/stand_ins/datagram_relay.hpp
+++ b/src/testbed/stand_ins/datagram_relay.hpp
@@ -39,7 +39,7 @@
 
  private:
   // The socket by which balancer `from` knows balancer `to`.
-  struct Endpoint final : transport::Ready {
+  struct Endpoint final : transport::EventHandler {
     Endpoint(DatagramRelay& owner, int from_balancer, int to_balancer, transport::Fd socket,
              const DatagramPath& datagram_path)
         : relay(owner), from(from_balancer), to(to_balancer), fd(std::move(socket)), path(datagram_path) {}
--- a/src/testbed/stand_ins/http_client.cpp
+++ b/src/testbed/stand_ins/http_client.cpp
@@ -79,8 +79,8 @@
   for (;;) {
     if (connection.stream.bytes().empty()) {
       auto got = connection.stream.fill();
-      if (got == Stream::Got::nothing) return;
-      if (got != Stream::Got::bytes) return on_stream_end(connection);
+      if (got == Stream::ReadResult::nothing) return;
+      if (got != Stream::ReadResult::bytes) return on_stream_end(connection);
     }
     if (!connection.busy) {
       if (connection.reused) handler_.on_extra_bytes(connection.token);
--- a/src/testbed/stand_ins/http_client.hpp
+++ b/src/testbed/stand_ins/http_client.hpp
@@ -69,7 +69,7 @@
   void cleanup() override;
 
  private:
-  struct Connection final : transport::Ready {
+  struct Connection final : transport::EventHandler {
     Connection(HttpClient& owner, std::uint64_t connection_number, int target_index, transport::Fd fd)
         : client(owner),
           number(connection_number),
--- a/src/testbed/stand_ins/http_server.cpp
+++ b/src/testbed/stand_ins/http_server.cpp
@@ -68,14 +68,14 @@
 void HttpServer::watch_for_close(Connection& connection) {
   if (!connection.stream.bytes().empty()) return;
   auto got = connection.stream.fill();
-  if (got != Stream::Got::nothing && got != Stream::Got::bytes) close(connection, false);
+  if (got != Stream::ReadResult::nothing && got != Stream::ReadResult::bytes) close(connection, false);
 }
 
 bool HttpServer::read_request(Connection& connection) {
   if (connection.stream.bytes().empty()) {
     auto got = connection.stream.fill();
-    if (got == Stream::Got::nothing) return false;
-    if (got != Stream::Got::bytes) {
+    if (got == Stream::ReadResult::nothing) return false;
+    if (got != Stream::ReadResult::bytes) {
       close(connection, false);
       return false;
     }
--- a/src/testbed/stand_ins/http_server.hpp
+++ b/src/testbed/stand_ins/http_server.hpp
@@ -57,7 +57,7 @@
   void cleanup() override;
 
  private:
-  struct Listener final : transport::Ready {
+  struct Listener final : transport::EventHandler {
     Listener(HttpServer& owner, const transport::Address& at, int listener_number)
         : server(owner), number(listener_number), socket(owner.context_.loop, at, *this) {}
     void ready(std::uint32_t) override { server.accept(*this); }
@@ -65,7 +65,7 @@
     int number;
     transport::Listener socket;
   };
-  struct Connection final : transport::Ready {
+  struct Connection final : transport::EventHandler {
     Connection(HttpServer& owner, ConnectionId connection_id, int listener_number, transport::Fd fd)
         : server(owner),
           id(connection_id),
--- a/src/testbed/stand_ins/relay.cpp
+++ b/src/testbed/stand_ins/relay.cpp
@@ -71,9 +71,9 @@
   while (from.stream.open() && !from.ended && lane.size < max_lane_bytes && pair.connected) {
     if (from.stream.bytes().empty()) {
       auto got = from.stream.fill();
-      if (got == Stream::Got::nothing) return;
-      if (got == Stream::Got::broken && !pair.black_holed) return end(pair, true);
-      if (got != Stream::Got::bytes) return on_stream_end(pair, from);
+      if (got == Stream::ReadResult::nothing) return;
+      if (got == Stream::ReadResult::broken && !pair.black_holed) return end(pair, true);
+      if (got != Stream::ReadResult::bytes) return on_stream_end(pair, from);
     }
     std::string bytes(from.stream.bytes());
     from.stream.consume(bytes.size());
--- a/src/testbed/stand_ins/relay.hpp
+++ b/src/testbed/stand_ins/relay.hpp
@@ -18,7 +18,7 @@
 
 namespace meadowgauge::testbed {
 
-class Relay final : transport::Ready, public TestbedContext::Component {
+class Relay final : transport::EventHandler, public TestbedContext::Component {
  public:
   // Throws std::system_error if it cannot listen. The plan outlives the relay; its times count from
   // `begin_ms`.
@@ -45,7 +45,7 @@
  private:
   struct Pair;
   // One of a pair's two connections.
-  struct End final : transport::Ready {
+  struct End final : transport::EventHandler {
     End(Pair& owner, Direction direction_in, TestbedContext& context, transport::Fd fd)
         : pair(owner), in(direction_in), stream(context.loop, context.pool, std::move(fd), *this) {}
     void ready(std::uint32_t events) override;
--- a/src/transport/address.cpp
+++ b/src/transport/address.cpp
@@ -24,14 +24,14 @@
     v6.sin6_port = htons(port);
     if (inet_pton(AF_INET6, std::string(host.substr(1, host.size() - 2)).c_str(), &v6.sin6_addr) != 1)
       return {};
-    std::memcpy(&a.at_, &v6, sizeof v6);
+    std::memcpy(&a.storage_, &v6, sizeof v6);
     a.size_ = sizeof v6;
   } else {
     sockaddr_in v4{};
     v4.sin_family = AF_INET;
     v4.sin_port = htons(port);
     if (inet_pton(AF_INET, std::string(host).c_str(), &v4.sin_addr) != 1) return {};
-    std::memcpy(&a.at_, &v4, sizeof v4);
+    std::memcpy(&a.storage_, &v4, sizeof v4);
     a.size_ = sizeof v4;
   }
   return a;
@@ -46,15 +46,15 @@
 
 Address Address::seen(const sockaddr_storage& at, socklen_t size) {
   Address a;
-  a.at_ = at;
+  a.storage_ = at;
   a.size_ = size;
   std::array<char, INET6_ADDRSTRLEN> host{};
   if (a.family() == AF_INET6) {
-    const auto& v6 = reinterpret_cast<const sockaddr_in6&>(a.at_);
+    const auto& v6 = reinterpret_cast<const sockaddr_in6&>(a.storage_);
     inet_ntop(AF_INET6, &v6.sin6_addr, host.data(), host.size());
     a.text_ = std::string("[").append(host.data()).append("]:") + std::to_string(ntohs(v6.sin6_port));
   } else {
-    const auto& v4 = reinterpret_cast<const sockaddr_in&>(a.at_);
+    const auto& v4 = reinterpret_cast<const sockaddr_in&>(a.storage_);
     inet_ntop(AF_INET, &v4.sin_addr, host.data(), host.size());
     a.text_ = std::string(host.data()) + ":" + std::to_string(ntohs(v4.sin_port));
   }
--- a/src/transport/address.hpp
+++ b/src/transport/address.hpp
@@ -1,4 +1,4 @@
-// An address to listen on or to dial: IPv4 or bracketed IPv6, with a port. Never resolves names.
+// IPv4 and IPv6 socket addresses.
 #pragma once
 
 #include <netinet/in.h>
@@ -10,27 +10,29 @@
 
 namespace meadowgauge::transport {
 
+// A numeric IP address with a port, to listen on or to connect to. Host names are never resolved.
 class Address {
  public:
-  // The format, for error messages.
+  // Describes the expected format in error messages.
   static constexpr std::string_view description = "address with a port";
   // Parses "1.2.3.4:80" or "[::1]:80"; absent if `text` is neither.
   static std::optional<Address> parse(std::string_view text);
-  // The local address of the bound socket `fd`, with the port that the system chose for port 0.
+  // The local address of the bound socket `fd`. If it was bound to port 0, this has the port that the kernel
+  // assigned.
   static Address of(int fd);
-  // From the result of a socket call, with the text in canonical form.
+  // Converts an address returned by a system call; text() is its canonical form.
   static Address seen(const sockaddr_storage& at, socklen_t size);
-  // For system calls; valid for the lifetime of this object.
-  [[nodiscard]] const sockaddr* raw() const { return reinterpret_cast<const sockaddr*>(&at_); }
+  // The address as passed to system calls; valid for the lifetime of this object.
+  [[nodiscard]] const sockaddr* raw() const { return reinterpret_cast<const sockaddr*>(&storage_); }
   [[nodiscard]] socklen_t size() const { return size_; }
   // AF_INET or AF_INET6.
-  [[nodiscard]] int family() const { return at_.ss_family; }
-  // The text given to parse(), or the canonical form.
+  [[nodiscard]] int family() const { return storage_.ss_family; }
+  // The text passed to parse(); otherwise the canonical form.
   [[nodiscard]] const std::string& text() const { return text_; }
   bool operator==(const Address& o) const { return text_ == o.text_; }
 
  private:
-  sockaddr_storage at_{};
+  sockaddr_storage storage_{};
   socklen_t size_ = 0;
   std::string text_;
 };
--- a/src/transport/due_times.hpp
+++ b/src/transport/due_times.hpp
@@ -1,4 +1,4 @@
-// The due times of one balancer instance in one ordered structure.
+// Timers of one balancer instance, in one ordered structure.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace meadowgauge::transport {
 
-// Identifies a due time: its kind in the top byte, its number in the 56 bits below.
+// Identifies a timer: the kind in the top byte, the number within that kind in the lower 56 bits.
 using DueKey = std::uint64_t;
 constexpr DueKey due_key(std::uint8_t kind, std::uint64_t number) {
   return static_cast<DueKey>(kind) << 56 | number;
@@ -17,25 +17,26 @@
 constexpr std::uint8_t kind_of(DueKey key) { return static_cast<std::uint8_t>(key >> 56); }
 constexpr std::uint64_t number_of(DueKey key) { return key & ((DueKey{1} << 56) - 1); }
 
-// Ordered by time (ms), then by key.
+// Due times in ms, ordered by time and then by key.
 class DueTimes {
  public:
-  // Not due, in ms.
+  // The due time of a key that is not due.
   static constexpr double none = std::numeric_limits<double>::infinity();
 
-  // Makes `key` due at `at_ms`. `kept`: the caller's record of the key's due time, `none` at first; updated
-  // here and changed by nothing else.
-  void set(DueKey key, double& kept, double at_ms) {
-    if (kept != none) due_.erase({kept, key});
-    kept = at_ms;
+  // Makes `key` due at `at_ms`; `none` removes the key. `stored_ms` is the caller's copy of the key's due
+  // time, initially `none`. Only set() may change it.
+  void set(DueKey key, double& stored_ms, double at_ms) {
+    if (stored_ms != none) due_.erase({stored_ms, key});
+    stored_ms = at_ms;
     if (at_ms != none) due_.insert({at_ms, key});
   }
-  // The earliest due time; `none` if there is none.
+  // The earliest due time; `none` without any due key.
   [[nodiscard]] double next() const {
     if (due_.empty()) return none;
     return due_.begin()->first;
   }
-  // The first key that is due at `now_ms`. The key stays until set() changes its time.
+  // The key with the earliest due time, if that is at or before `now_ms`. The key stays due until set()
+  // changes its time.
   [[nodiscard]] std::optional<DueKey> first(double now_ms) const {
     if (due_.empty() || due_.begin()->first > now_ms) return {};
     return due_.begin()->second;
--- a/src/transport/fd.hpp
+++ b/src/transport/fd.hpp
@@ -1,4 +1,4 @@
-// A file descriptor with one owner.
+// Ownership of file descriptors.
 #pragma once
 
 #include <unistd.h>
@@ -7,7 +7,7 @@
 
 namespace meadowgauge::transport {
 
-// Closes the descriptor on destruction. Empty after a move.
+// Owns one file descriptor and closes it on destruction. Empty after it was moved from.
 class Fd {
  public:
   Fd() = default;
@@ -24,7 +24,7 @@
   }
   ~Fd() { close(); }
 
-  // No effect if empty.
+  // Closes the descriptor; no effect if empty.
   void close() {
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -8,14 +8,14 @@
 
 namespace meadowgauge::transport {
 
-Listener::Listener(Loop& loop, const Address& at, Ready& owner, How how)
+Listener::Listener(Loop& loop, const Address& at, EventHandler& owner, How how)
     : loop_(&loop),
       owner_(&owner),
       how_(how),
       fd_(socket(at.family(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
-  int on = 1;
-  if (!fd_ || setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
-      (how.shared && setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof on) != 0) ||
+  int enable = 1;
+  if (!fd_ || setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEADDR, &enable, sizeof enable) != 0 ||
+      (how.shared && setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEPORT, &enable, sizeof enable) != 0) ||
       bind(fd_.get(), at.raw(), at.size()) != 0)
     throw std::system_error(errno, std::generic_category(), "cannot listen on " + at.text());
   if (!how.later) listen();
@@ -39,7 +39,7 @@
   while (fd_) {
     Fd fd(accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (fd) return fd;
-    if (errno == EINTR || errno == ECONNABORTED || errno == EPROTO) continue;  // the client has gone
+    if (errno == EINTR || errno == ECONNABORTED || errno == EPROTO) continue;  // the client disconnected
     full = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
     break;
   }
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -1,4 +1,4 @@
-// A listening TCP socket.
+// Listening TCP sockets.
 #pragma once
 
 #include "transport/address.hpp"
@@ -6,38 +6,42 @@
 
 namespace meadowgauge::transport {
 
-// Owns the listening descriptor and its registration with the loop.
+// A listening TCP socket. Owns the descriptor and its registration with the loop.
 class Listener {
  public:
+  // Options of the constructor.
   struct How {
-    bool first = false;   // notify the owner before others of a batch
+    bool first = false;   // notify the owner before the other handlers of a batch
     bool shared = false;  // SO_REUSEPORT: other processes may listen on the address
-    bool later = false;   // bind only, until listen()
+    bool later = false;   // only bind the address; listen() starts to listen
   };
-  // `loop` and `owner` outlive the listener. Throws std::system_error with the address if it can't listen.
-  Listener(Loop& loop, const Address& at, Ready& owner) : Listener(loop, at, owner, How()) {}
-  Listener(Loop& loop, const Address& at, Ready& owner, How how);
+  // `loop` and `owner` outlive the listener. Throws std::system_error, with the address in its text, if the
+  // socket cannot be bound or cannot listen.
+  Listener(Loop& loop, const Address& at, EventHandler& owner) : Listener(loop, at, owner, How()) {}
+  Listener(Loop& loop, const Address& at, EventHandler& owner, How how);
   ~Listener() { close(); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // After `How::later`. Throws as the constructor does.
+  // Starts to listen after construction with `How::later`; no effect otherwise. Throws like the constructor.
   void listen();
-  // Whether the socket accepts connections: after listen(), before close().
+  // Whether the socket is listening: from listen() until close().
   [[nodiscard]] bool listening() const { return token_ != 0 && fd_; }
-  // Directs new connections to the `nth` (from 0) listener of the shared address, in the order in which the
-  // open listeners began to listen. False: refused by the system, which distributes connections then.
+  // Directs all new connections of the shared address to its `nth` listener. Listeners are numbered from 0 in
+  // the order in which the open ones began to listen. Returns false if the kernel refuses; it then keeps
+  // distributing connections over all listeners.
   bool take_new_connections(std::uint32_t nth);
-  // The next connection; empty if none waits, or if descriptors or memory ran out (`full`).
+  // Accepts the next connection. Returns an empty Fd if no connection is pending, or if the system is out of
+  // descriptors or memory, which sets `full`.
   Fd accept(bool& full);
-  // The system resets connections that were not accepted.
+  // Stops listening. The kernel resets connections that were not accepted.
   void close();
   [[nodiscard]] Address address() const { return Address::of(fd_.get()); }
   [[nodiscard]] bool open() const { return static_cast<bool>(fd_); }
 
  private:
   Loop* loop_;
-  Ready* owner_;
+  EventHandler* owner_;
   How how_;
   Fd fd_;
   std::uint64_t token_ = 0;
--- a/src/transport/loop.hpp
+++ b/src/transport/loop.hpp
@@ -1,4 +1,4 @@
-// The edge-triggered epoll loop: waits for events and notifies the handlers. Single-threaded.
+// The event loop of a process.
 #pragma once
 
 #include <sys/epoll.h>
@@ -11,29 +11,31 @@
 
 namespace meadowgauge::transport {
 
-// Handles the events of a descriptor. Not owned by the loop; outlives the registration.
-class Ready {
+// Handles the events of registered descriptors. Not owned by the loop; must outlive its registrations.
+class EventHandler {
  public:
-  // `events`: epoll's (EPOLLIN ...). May add and remove descriptors, including its own.
+  // Called with the epoll event mask (EPOLLIN, ...). May add and remove descriptors, including its own.
   virtual void ready(std::uint32_t events) = 0;
 
  protected:
-  ~Ready() = default;
+  ~EventHandler() = default;
 };
 
-// Owns the epoll descriptor, but not the registered descriptors.
+// An edge-triggered epoll loop: waits for events and notifies their handlers. Single-threaded. Owns the epoll
+// descriptor, but not the registered descriptors.
 class Loop {
  public:
   // Throws std::system_error if epoll_create1() fails.
   Loop();
 
-  // Returns a token unique to this registration, so that late events of an earlier descriptor with the same
-  // number are dropped. `first`: notified before others of a batch. Throws std::system_error if epoll
-  // refuses.
-  std::uint64_t add(int fd, Ready& handler, std::uint32_t events, bool first = false);
-  // Called before the descriptor is closed. No effect for a removed token.
+  // Registers `fd` for `events`. Returns a token unique to this registration, so that stale events of an
+  // earlier descriptor with the same number are dropped. A prioritized handler is notified before the others
+  // of a batch. Throws std::system_error if epoll refuses.
+  std::uint64_t add(int fd, EventHandler& handler, std::uint32_t events, bool is_prioritized = false);
+  // Ends the registration; must be called before `fd` is closed. No effect if the registration has ended.
   void remove(std::uint64_t token, int fd);
-  // Notifies the handler again in the next batch, without waiting: input or output is left over.
+  // Notifies the handler of `events` again in the next batch, which does not wait. Edge-triggered epoll does
+  // not repeat an event whose input or output was not fully processed.
   void again(std::uint64_t token, std::uint32_t events);
 
   // Waits for events, for at most `max_wait_ms` and at most one minute. Throws std::system_error.
@@ -42,20 +44,20 @@
   void dispatch();
 
  private:
-  void notify(const epoll_event& e, bool first);
+  void notify(const epoll_event& e, bool is_prioritized);
   struct Slot {
-    Ready* handler = nullptr;      // null: the slot is free
-    std::uint32_t generation = 1;  // never 0, so that no token is 0
-    bool first = false;
+    EventHandler* handler = nullptr;  // null: the slot is free
+    std::uint32_t generation = 1;     // never 0, so that no token is 0
+    bool is_prioritized = false;
   };
   static constexpr int max_events = 256;
   Fd epoll_;
   std::vector<Slot> slots_;
-  std::vector<std::uint32_t> free_;
+  std::vector<std::uint32_t> free_slots_;
   std::array<epoll_event, max_events> events_{};
-  int count_ = 0;
-  int first_slots_ = 0;                // number of slots with `first`
-  std::vector<epoll_event> repeated_;  // from again(), for the next batch
+  int event_count_ = 0;
+  int prioritized_slots_ = 0;                 // number of registrations with `is_prioritized`
+  std::vector<epoll_event> repeated_events_;  // from again(), for the next batch
   std::vector<epoll_event> batch_;
 };
 
--- a/src/transport/pool.cpp
+++ b/src/transport/pool.cpp
@@ -5,46 +5,47 @@
 
 namespace meadowgauge::transport {
 
-Buffer::Buffer(Buffer&& o) noexcept : from_(o.from_), bytes_(std::move(o.bytes_)) {}
+Buffer::Buffer(Buffer&& o) noexcept : owner_(o.owner_), bytes_(std::move(o.bytes_)) {}
 
 Buffer& Buffer::operator=(Buffer&& o) noexcept {
   if (this != &o) {
-    give_back();
-    from_ = o.from_;
+    return_to_pool();
+    owner_ = o.owner_;
     bytes_ = std::move(o.bytes_);
   }
   return *this;
 }
 
-Buffer::~Buffer() { give_back(); }
+Buffer::~Buffer() { return_to_pool(); }
 
-void Buffer::give_back() {
+void Buffer::return_to_pool() {
   if (!bytes_) return;
-  --from_->out_;
-  from_->spare_.push_back(std::move(bytes_));
+  --owner_->lent_;
+  owner_->idle_buffers_.push_back(std::move(bytes_));
 }
 
 Buffer Pool::take() {
-  if (out_ >= max_buffers_) return {};
-  ++out_;
-  if (spare_.empty()) return {this, std::make_unique_for_overwrite<Buffer::Block>()};
-  Buffer b{this, std::move(spare_.back())};
-  spare_.pop_back();
+  if (lent_ >= max_buffers_) return {};
+  ++lent_;
+  if (idle_buffers_.empty()) return {this, std::make_unique_for_overwrite<Buffer::Block>()};
+  Buffer b{this, std::move(idle_buffers_.back())};
+  idle_buffers_.pop_back();
   return b;
 }
 
 void Pool::trim() {
-  constexpr std::size_t kept_idle = 16;
-  if (spare_.size() > kept_idle) spare_.resize(spare_.size() - (spare_.size() - kept_idle + 1) / 2);
+  constexpr std::size_t idle_reserve = 16;
+  if (idle_buffers_.size() > idle_reserve)
+    idle_buffers_.resize(idle_buffers_.size() - (idle_buffers_.size() - idle_reserve + 1) / 2);
 }
 
 bool Chain::append(std::string_view bytes) {
   auto capacity = buffers_.size() * buffer_size - start_ - size_;
-  auto kept = buffers_.size();
+  auto old_count = buffers_.size();
   while (capacity < bytes.size()) {
     auto b = pool_->take();
     if (!b) {
-      buffers_.resize(kept);
+      buffers_.resize(old_count);
       return false;
     }
     buffers_.push_back(std::move(b));
@@ -69,7 +70,7 @@
   start_ = size_ == 0 ? 0 : start_ % buffer_size;
 }
 
-void Chain::drop_after(std::size_t n) {
+void Chain::truncate_to(std::size_t n) {
   size_ = std::min(size_, n);
   buffers_.resize((start_ + size_ + buffer_size - 1) / buffer_size);
   if (size_ == 0) start_ = 0;
--- a/src/transport/pool.hpp
+++ b/src/transport/pool.hpp
@@ -1,4 +1,4 @@
-// A pool of buffers of one size, and byte queues made of them.
+// A pool of buffers of one size, and byte queues built from them.
 #pragma once
 
 #include <algorithm>
@@ -11,12 +11,12 @@
 
 namespace meadowgauge::transport {
 
-// In bytes.
+// The size of each buffer, in bytes.
 inline constexpr std::size_t buffer_size = std::size_t{16} * 1024;
 
 class Pool;
 
-// A buffer borrowed from a Pool; the destructor returns it.
+// A buffer borrowed from a Pool; the destructor returns it to the pool. Empty after it was moved from.
 class Buffer {
  public:
   using Block = std::array<char, buffer_size>;
@@ -33,53 +33,54 @@
 
  private:
   friend class Pool;
-  Buffer(Pool* from, std::unique_ptr<Block> bytes) : from_(from), bytes_(std::move(bytes)) {}
-  void give_back();
-  Pool* from_ = nullptr;
+  Buffer(Pool* from, std::unique_ptr<Block> bytes) : owner_(from), bytes_(std::move(bytes)) {}
+  void return_to_pool();
+  Pool* owner_ = nullptr;
   std::unique_ptr<Block> bytes_;
 };
 
-// Lends up to `max_buffers` buffers at a time. Outlives its buffers.
+// Lends up to `max_buffers` buffers at a time and reuses returned ones. Must outlive the buffers on loan.
 class Pool {
  public:
   explicit Pool(std::size_t max_buffers) : max_buffers_(max_buffers) {}
   Pool(const Pool&) = delete;
   Pool& operator=(const Pool&) = delete;
   ~Pool() = default;
-  // Empty if `max_buffers` are on loan.
+  // Returns an empty buffer if `max_buffers` are on loan.
   Buffer take();
-  // Frees half of the idle buffers above a small reserve. Called periodically.
+  // Frees half of the idle buffers beyond a small reserve. Called periodically.
   void trim();
   // Changes the limit. Buffers on loan above the limit stay valid.
   void set_max_buffers(std::size_t max_buffers) { max_buffers_ = max_buffers; }
-  // Buffers on loan, and idle buffers.
-  [[nodiscard]] std::size_t out() const { return out_; }
-  [[nodiscard]] std::size_t spare() const { return spare_.size(); }
+  // The number of buffers on loan.
+  [[nodiscard]] std::size_t out() const { return lent_; }
+  // The number of idle buffers.
+  [[nodiscard]] std::size_t spare() const { return idle_buffers_.size(); }
 
  private:
   friend class Buffer;
   std::size_t max_buffers_;
-  std::size_t out_ = 0;
-  std::vector<std::unique_ptr<Buffer::Block>> spare_;
+  std::size_t lent_ = 0;
+  std::vector<std::unique_ptr<Buffer::Block>> idle_buffers_;
 };
 
-// A queue of bytes in buffers of the pool, which outlives the queue.
+// A byte queue stored in buffers of `pool`, which must outlive the queue.
 class Chain {
  public:
   explicit Chain(Pool& pool) : pool_(&pool) {}
 
-  // False: the pool has no buffers; no byte was added.
+  // Appends all of `bytes`, or nothing if the pool has too few buffers (false).
   [[nodiscard]] bool append(std::string_view bytes);
-  // Drops the first `n` bytes, or all if there are fewer. Returns their buffers to the pool.
+  // Drops the first `n` bytes, or all if there are fewer. Buffers that become empty return to the pool.
   void consume(std::size_t n);
   // Drops all bytes.
   void clear() { consume(size_); }
-  // Drops all bytes after the first `n`.
-  void drop_after(std::size_t n);
+  // Keeps the first `n` bytes and drops the rest.
+  void truncate_to(std::size_t n);
   [[nodiscard]] std::size_t size() const { return size_; }
-  // The first contiguous bytes.
+  // The first contiguous segment; empty if the queue is empty.
   [[nodiscard]] std::string_view front() const;
-  // Calls f(std::string_view) for each contiguous piece from offset `from` on.
+  // Calls f(std::string_view) for each contiguous segment from offset `from` on.
   template <class F>
   void each(std::size_t from, F&& f) const {
     std::size_t at = start_;
--- a/src/transport/stream.cpp
+++ b/src/transport/stream.cpp
@@ -11,14 +11,14 @@
 
 namespace meadowgauge::transport {
 
-Stream::Stream(Loop& loop, Pool& pool, Fd fd, Ready& owner, bool first)
+Stream::Stream(Loop& loop, Pool& pool, Fd fd, EventHandler& owner, bool is_prioritized)
     : loop_(&loop),
       pool_(&pool),
       fd_(std::move(fd)),
-      token_(loop.add(fd_.get(), owner, EPOLLIN | EPOLLOUT | EPOLLRDHUP, first)),
-      out_(pool) {
-  int on = 1;
-  setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+      token_(loop.add(fd_.get(), owner, EPOLLIN | EPOLLOUT | EPOLLRDHUP, is_prioritized)),
+      output_(pool) {
+  int enable = 1;
+  setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &enable, sizeof enable);
 }
 
 Stream::~Stream() { close(); }
@@ -26,9 +26,9 @@
 Fd Stream::dial(const Address& to) {
   Fd fd(socket(to.family(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (fd && connect(fd.get(), to.raw(), to.size()) != 0 && errno != EINPROGRESS) {
-    int why = errno;
+    int saved_errno = errno;
     fd.close();
-    errno = why;
+    errno = saved_errno;
   }
   return fd;
 }
@@ -41,8 +41,8 @@
 }
 
 void Stream::record_arrivals() {
-  int on = 1;
-  records_arrivals_ = setsockopt(fd_.get(), SOL_SOCKET, SO_TIMESTAMPNS, &on, sizeof on) == 0;
+  int enable = 1;
+  records_arrivals_ = setsockopt(fd_.get(), SOL_SOCKET, SO_TIMESTAMPNS, &enable, sizeof enable) == 0;
 }
 
 ssize_t Stream::receive(char* to, std::size_t size) {
@@ -65,36 +65,37 @@
   return n;
 }
 
-Stream::Got Stream::fill() {
-  if (!fd_) return Got::broken;
-  if (from_ == to_) from_ = to_ = 0;
-  if (to_ == buffer_size) return Got::nothing;
-  if (!in_ && !(in_ = pool_->take())) {
-    again(EPOLLIN);  // the bytes stay in the socket until the pool has a buffer
-    return Got::nothing;
+Stream::ReadResult Stream::fill() {
+  if (!fd_) return ReadResult::broken;
+  if (unread_begin_ == unread_end_) unread_begin_ = unread_end_ = 0;
+  if (unread_end_ == buffer_size) return ReadResult::nothing;
+  if (!input_ && !(input_ = pool_->take())) {
+    again(EPOLLIN);  // the bytes stay in the socket until the pool has a free buffer
+    return ReadResult::nothing;
   }
   for (;;) {
-    auto n = receive(in_.data() + to_, buffer_size - to_);
+    auto n = receive(input_.data() + unread_end_, buffer_size - unread_end_);
     if (n > 0) {
-      to_ += static_cast<std::size_t>(n);
-      return Got::bytes;
+      unread_end_ += static_cast<std::size_t>(n);
+      return ReadResult::bytes;
     }
     if (n < 0 && errno == EINTR) continue;
-    if (from_ == to_) in_ = {};
-    if (n == 0) return Got::end;
-    return errno == EAGAIN || errno == EWOULDBLOCK ? Got::nothing : Got::broken;
+    if (unread_begin_ == unread_end_) input_ = {};
+    if (n == 0) return ReadResult::end;
+    return errno == EAGAIN || errno == EWOULDBLOCK ? ReadResult::nothing : ReadResult::broken;
   }
 }
 
 std::string_view Stream::bytes() const {
-  return in_ ? std::string_view(in_.data() + from_, to_ - from_) : std::string_view{};
+  return input_ ? std::string_view(input_.data() + unread_begin_, unread_end_ - unread_begin_)
+                : std::string_view{};
 }
 
 void Stream::consume(std::size_t n) {
-  from_ += n;
-  if (from_ < to_) return;
-  from_ = to_ = 0;
-  in_ = {};
+  unread_begin_ += n;
+  if (unread_begin_ < unread_end_) return;
+  unread_begin_ = unread_end_ = 0;
+  input_ = {};
 }
 
 bool Stream::quiet() const {
@@ -105,11 +106,11 @@
 
 bool Stream::flush() {
   if (!fd_) return false;
-  while (out_.size() > 0) {
-    auto front = out_.front();
+  while (output_.size() > 0) {
+    auto front = output_.front();
     auto n = send(fd_.get(), front.data(), front.size(), MSG_NOSIGNAL);
     if (n >= 0) {
-      out_.consume(static_cast<std::size_t>(n));
+      output_.consume(static_cast<std::size_t>(n));
       continue;
     }
     if (errno == EINTR) continue;
@@ -126,15 +127,15 @@
   if (!fd_) return;
   loop_->remove(token_, fd_.get());
   fd_.close();
-  out_.clear();
-  in_ = {};
-  from_ = to_ = 0;
+  output_.clear();
+  input_ = {};
+  unread_begin_ = unread_end_ = 0;
 }
 
 void Stream::reset() {
   if (!fd_) return;
-  linger now{.l_onoff = 1, .l_linger = 0};
-  setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+  linger abortive_close{.l_onoff = 1, .l_linger = 0};
+  setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &abortive_close, sizeof abortive_close);
   close();
 }
 
--- a/src/transport/stream.hpp
+++ b/src/transport/stream.hpp
@@ -1,4 +1,4 @@
-// A non-blocking TCP connection with one input buffer and an output queue.
+// TCP connections.
 #pragma once
 
 #include <sys/types.h>
@@ -9,48 +9,55 @@
 
 namespace meadowgauge::transport {
 
-// Reads and writes until EAGAIN, as edge-triggered events require. Loop, pool and owner outlive the stream.
+// A non-blocking TCP connection with one input buffer and an output queue. The owner is notified of its
+// events, which are edge-triggered: reads and writes continue until EAGAIN. Loop, pool and owner must outlive
+// the stream.
 class Stream {
  public:
-  enum class Got : std::uint8_t { bytes, nothing, end, broken };
+  // Result of fill().
+  enum class ReadResult : std::uint8_t {
+    bytes,    // bytes were added to bytes()
+    nothing,  // see fill()
+    end,      // the peer has ended its side
+    broken    // the stream is closed or the socket failed
+  };
 
-  // `fd`: an accepted connection or a dial in progress. `first`: notify the owner before others of a batch.
-  // Throws std::system_error if epoll refuses the descriptor.
-  Stream(Loop& loop, Pool& pool, Fd fd, Ready& owner, bool first = false);
+  // `fd`: an accepted connection, or one that dial() started. `is_prioritized`: notify the owner before the
+  // other handlers of a batch. Throws std::system_error if epoll refuses the descriptor.
+  Stream(Loop& loop, Pool& pool, Fd fd, EventHandler& owner, bool is_prioritized = false);
   ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  // Starts to connect to `to`. Empty, with errno set, if that fails at once.
+  // Starts to connect to `to`. Returns an empty Fd, with errno set, if the connection fails immediately.
   static Fd dial(const Address& to);
-  // The result of a dial, once the socket is writable: 0 or an errno value.
+  // The result of dial(), valid once the socket is writable: 0 or an errno value.
   [[nodiscard]] int dial_error() const;
 
-  // Reads once into the buffer. `nothing`: EAGAIN, a full buffer, or no buffer in the pool (the owner is
-  // notified again). Call until `nothing`.
-  Got fill();
-  // Makes fill() ask the kernel when the bytes had arrived. Not supported everywhere: arrived_ms() then stays
-  // 0.
+  // Reads once into the input buffer; call it until the result is `nothing`. `nothing` means EAGAIN, a full
+  // buffer, or no free buffer in the pool; in the last case the owner is notified again.
+  ReadResult fill();
+  // Makes fill() read the kernel's receive timestamps. arrived_ms() stays 0 where they are not supported.
   void record_arrivals();
-  // When the kernel had the last bytes that fill() read, in ms of Unix time; 0: not known.
+  // When the kernel received the last bytes that fill() read, in ms of Unix time; 0 if unknown.
   [[nodiscard]] double arrived_ms() const { return arrived_ms_; }
-  // The received bytes that are not consumed; valid until the next fill(), consume() or close().
+  // The received bytes that are not yet consumed; valid until the next fill(), consume() or close().
   [[nodiscard]] std::string_view bytes() const;
   // Drops the first `n` of bytes().
   void consume(std::size_t n);
-  // Whether the connection is open with no unread input. Asks the socket.
+  // Whether the connection is open and the socket has no unread input. Peeks at the socket.
   [[nodiscard]] bool quiet() const;
 
-  // The output queue of flush().
-  [[nodiscard]] Chain& out() { return out_; }
-  // Writes until EAGAIN. False: the connection broke.
+  // The queue of bytes that flush() sends.
+  [[nodiscard]] Chain& out() { return output_; }
+  // Sends queued bytes until EAGAIN. Returns false if the connection is closed or broken.
   bool flush();
   // Whether the output queue is empty.
-  [[nodiscard]] bool flushed() const { return out_.size() == 0; }
-  // Half-closes; the peer may still send.
+  [[nodiscard]] bool flushed() const { return output_.size() == 0; }
+  // Closes the sending direction; the peer may still send.
   void end_sending();
 
-  // As Loop::again().
+  // Notifies the owner again; see Loop::again().
   void again(std::uint32_t events) { loop_->again(token_, events); }
   [[nodiscard]] bool open() const { return static_cast<bool>(fd_); }
   void close();
@@ -64,10 +71,10 @@
   Pool* pool_;
   Fd fd_;
   std::uint64_t token_;
-  Buffer in_;
-  std::size_t from_ = 0;  // offsets of bytes() in in_
-  std::size_t to_ = 0;
-  Chain out_;
+  Buffer input_;
+  std::size_t unread_begin_ = 0;  // bytes() is [unread_begin_, unread_end_) of input_
+  std::size_t unread_end_ = 0;
+  Chain output_;
   bool records_arrivals_ = false;
   double arrived_ms_ = 0;
 };
--- a/tests/broken/broken.cpp
+++ b/tests/broken/broken.cpp
@@ -1,5 +1,5 @@
-// Balancers that each violate one rule on purpose, to test that the testbed's checker reports the violation.
-// The definition BROKEN_* selects the rule at compile time.
+// Balancers that each violate one rule on purpose, to test that the checker of the testbed reports the
+// violation. The macro BROKEN_* selects the rule at compile time.
 #include <algorithm>
 #include <cstdlib>
 
@@ -9,15 +9,15 @@
 
 EndpointIndex choose(std::span<const EndpointIndex> ready, State& s) {
 #ifdef BROKEN_CRASH
-  if (++s.turn > 150) std::_Exit(0);
+  if (++s.request_counter > 150) std::_Exit(0);
 #endif
 #ifdef BROKEN_SLOW_START
-  // Sends all requests to the server that started last.
+  // Overloads the server that started last with all requests.
   return *std::max_element(ready.begin(), ready.end(), [&](EndpointIndex a, EndpointIndex b) {
     return s.servers[position_of(a)].up_since_ms < s.servers[position_of(b)].up_since_ms;
   });
 #else
-  return ready[s.below(ready.size())];
+  return ready[s.random_below(ready.size())];
 #endif
 }
 #ifdef BROKEN_DUPLICATE
--- a/tests/protocol/endpoint_list_test.cpp
+++ b/tests/protocol/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists, and the lines of a watch.
+// Tests of the endpoint list parser and of the line framing of a watch.
 #include "protocol/endpoint_list.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,8 @@
 namespace meadowgauge::protocol {
 namespace {
 
-TEST(WatchLines, AreTheSameWhereverTheyAreCut) {
+// Guards against lines that are lost or split when a read ends within a line or within a line ending.
+TEST(WatchLines, SplitInputYieldsTheSameLines) {
   const std::string text = "{\"seq\":1}\r\n\n\n{\"seq\":2}\npart";
   for (std::size_t at = 0; at <= text.size(); ++at) {
     LineReader lines;
@@ -20,7 +21,9 @@
   }
 }
 
-TEST(EndpointList, SkipsInvalidEntriesAndNamesThem) {
+// Guards against one invalid entry that invalidates the whole list, and against a value that is not a list
+// but is accepted as one.
+TEST(EndpointList, SkipsAndReportsInvalidEntries) {
   auto l = read_endpoint_list(*Json::parse(
       R"({"seq":43,"whole":true,"hosts":[7,{"host":"a","dial":"1.2.3.4:5","site":"z","class":"k","block":3,)"
       R"("health":"leaving","share":1.5,"born_ms":1700000000123},{"host":"b","dial":"x:1","health":"asleep"},)"
--- a/tests/protocol/http_parser_test.cpp
+++ b/tests/protocol/http_parser_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP parser, with its input split at any byte.
+// Tests of the HTTP parser, with its input split at every byte.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -13,10 +13,10 @@
 
 using transport::Pool;
 
-// Renders a parsed message as one text.
-std::string described(const Message& m) {
+// Renders the result of parsing as one text, to compare messages.
+std::string render(const Message& m) {
   if (m.fault() != Fault::none) return "fault " + std::to_string(static_cast<int>(m.fault()));
-  if (!m.complete()) return "not whole";
+  if (!m.complete()) return "incomplete";
   std::string t = std::string(m.method()) + " " + std::string(m.target()) + " " + std::to_string(m.status());
   for (const auto& f : m.fields()) t += "|" + std::string(f.name) + "=" + std::string(f.value);
   t += m.keep_alive() ? "|keep|" : "|close|";
@@ -24,13 +24,15 @@
   return t;
 }
 
-std::string parsed(Message::Kind kind, const std::vector<std::string>& pieces, std::size_t* took = nullptr) {
+// Parses the `pieces` of one message and renders the result. `consumed`: the number of bytes consumed.
+std::string parse_and_render(Message::Kind kind, const std::vector<std::string>& pieces,
+                             std::size_t* consumed = nullptr) {
   Pool pool(8);
   Message m(pool, kind);
   std::size_t all = 0;
   for (const auto& p : pieces) all += m.feed(p);
-  if (took) *took = all;
-  return described(m);
+  if (consumed) *consumed = all;
+  return render(m);
 }
 
 const std::vector<std::string> requests = {
@@ -44,39 +46,43 @@
     "GET / HTTP/1.1\r\nHost: b\r\nX : 1\r\n\r\n",
 };
 
-TEST(HttpParser, ReadsTheSameWhereverTheBytesAreCut) {
+// Guards against results that depend on how the network splits a message.
+TEST(HttpParser, SplitInputParsesTheSame) {
   for (const auto& r : requests) {
-    auto whole = parsed(Message::Kind::request, {r});
-    EXPECT_NE(whole, "not whole") << r;
+    auto whole = parse_and_render(Message::Kind::request, {r});
+    EXPECT_NE(whole, "incomplete") << r;
     for (std::size_t at = 0; at <= r.size(); ++at)
-      EXPECT_EQ(parsed(Message::Kind::request, {r.substr(0, at), r.substr(at)}), whole)
-          << r << " cut at " << at;
+      EXPECT_EQ(parse_and_render(Message::Kind::request, {r.substr(0, at), r.substr(at)}), whole)
+          << r << " split at " << at;
     std::vector<std::string> bytes;
     for (char c : r) bytes.emplace_back(1, c);
-    EXPECT_EQ(parsed(Message::Kind::request, bytes), whole) << r;
+    EXPECT_EQ(parse_and_render(Message::Kind::request, bytes), whole) << r;
   }
   const std::string answer =
       "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nTransfer-Encoding: "
       "chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n";
   for (std::size_t at = 0; at <= answer.size(); ++at)
-    EXPECT_EQ(parsed(Message::Kind::response, {answer.substr(0, at), answer.substr(at)}),
+    EXPECT_EQ(parse_and_render(Message::Kind::response, {answer.substr(0, at), answer.substr(at)}),
               "  503|X-Rejected=1|Transfer-Encoding=chunked|keep|x");
 }
 
 TEST(HttpParser, ReadsMethodTargetFieldsAndBody) {
-  EXPECT_EQ(parsed(Message::Kind::request, {requests[0]}), "GET /view?x=1 0|Host=b|X-Call-Id=1|keep|");
-  EXPECT_EQ(parsed(Message::Kind::request, {requests[2]}),
+  EXPECT_EQ(parse_and_render(Message::Kind::request, {requests[0]}),
+            "GET /view?x=1 0|Host=b|X-Call-Id=1|keep|");
+  EXPECT_EQ(parse_and_render(Message::Kind::request, {requests[2]}),
             "POST /pay 0|Host=b|Transfer-Encoding=chunked|keep|hello0123456789");
-  EXPECT_EQ(parsed(Message::Kind::request, {requests[3]}), "POST /pay 0|Content-Length=2|close|ok");
+  EXPECT_EQ(parse_and_render(Message::Kind::request, {requests[3]}), "POST /pay 0|Content-Length=2|close|ok");
 }
 
 TEST(HttpParser, ConsumesOneMessageAndLeavesTheNext) {
-  std::size_t took = 0;
-  parsed(Message::Kind::request, {requests[0] + requests[3]}, &took);
-  EXPECT_EQ(took, requests[0].size());
+  std::size_t consumed = 0;
+  parse_and_render(Message::Kind::request, {requests[0] + requests[3]}, &consumed);
+  EXPECT_EQ(consumed, requests[0].size());
 }
 
-TEST(HttpParser, RejectsWhatTwoParsersCouldReadDifferently) {
+// Guards against request smuggling: if balancer and server disagree on where a message ends, a client can
+// hide a second request in the body of the first.
+TEST(HttpParser, RejectsAmbiguousMessages) {
   const std::string head = "POST / HTTP/1.1\r\nHost: b\r\n";
   const std::pair<int, std::string> cases[] = {
       {400, head + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n"},
@@ -117,16 +123,17 @@
                 }()},
   };
   for (const auto& [status, text] : cases)
-    EXPECT_EQ(parsed(Message::Kind::request, {text}), "fault " + std::to_string(status))
+    EXPECT_EQ(parse_and_render(Message::Kind::request, {text}), "fault " + std::to_string(status))
         << text.substr(0, 120);
   for (std::string bad :
        {"HTTP/1.1 200 OK\r\n\r\n", "HTTP/2 200 OK\r\n", "HTTP/1.1 20 OK\r\n", "HTTP/1.1 2000 OK\r\n"})
-    EXPECT_EQ(parsed(Message::Kind::response, {bad}), "fault 400") << bad;
+    EXPECT_EQ(parse_and_render(Message::Kind::response, {bad}), "fault 400") << bad;
 }
 
-TEST(HttpParser, TakesArbitraryBytesWithoutHarm) {
+// Guards against crashes and against results that depend on the split, for random sequences of message parts.
+TEST(HttpParser, SplitRandomInputParsesTheSame) {
   bool ok = rc::check([] {
-    // Mostly valid pieces, so that the parser reaches its later states.
+    // Mostly valid parts, so that the parser reaches its later states.
     auto piece = rc::gen::element<std::string>("GET / HTTP/1.1\r\n", "HTTP/1.1 200 OK\r\n", "Host: b\r\n",
                                                "\r\n", "Content-Length: 3\r\n",
                                                "Transfer-Encoding: chunked\r\n", "abc", "3\r\n", "0\r\n",
@@ -135,19 +142,19 @@
     auto kind = *rc::gen::element(Message::Kind::request, Message::Kind::response);
     std::string whole;
     for (const auto& p : pieces) whole += p;
-    RC_ASSERT(parsed(kind, pieces) == parsed(kind, {whole}));
+    RC_ASSERT(parse_and_render(kind, pieces) == parse_and_render(kind, {whole}));
   });
   EXPECT_TRUE(ok);
 }
 
-TEST(HttpParser, ReportsThatThePoolIsOutOfBuffers) {
+TEST(HttpParser, ReportsPoolWithoutBuffers) {
   Pool pool(0);
   Message m(pool, Message::Kind::request);
   m.feed("GET / HTTP/1.1\r\n");
   EXPECT_EQ(m.fault(), Fault::out_of_buffers);
 }
 
-// A message with a fault is never complete, wherever in the framing the fault is.
+// Guards against a message that is complete in spite of a fault in its framing fields.
 TEST(HttpParser, FaultyMessageIsNotComplete) {
   for (std::string text : {"GET / HTTP/1.1\r\nHost: b\r\nHost: c\r\n\r\n", "GET / HTTP/1.1\r\n\r\n",
                            "GET / HTTP/1.1\r\nHost: b\r\nContent-Length: x\r\n\r\n",
--- a/tests/protocol/http_writer_test.cpp
+++ b/tests/protocol/http_writer_test.cpp
@@ -1,4 +1,4 @@
-// How messages are forwarded.
+// Tests of how messages are forwarded.
 #include "protocol/http_writer.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using transport::Pool;
 
-TEST(HttpWriter, ForwardsAllButHopByHopFields) {
+TEST(HttpWriter, DropsHopByHopFields) {
   Pool pool(8);
   Message m(pool, Message::Kind::request);
   m.feed(
@@ -29,7 +29,7 @@
             "HTTP/1.1 200 OK\r\nContent-Type: t\r\nConnection: close\r\nContent-Length: 1\r\n\r\nz");
 }
 
-TEST(HttpWriter, ForwardsAnHttp10RequestWithAHostField) {
+TEST(HttpWriter, AddsHostFieldToHttp10Request) {
   Pool pool(8);
   Message m(pool, Message::Kind::request);
   m.feed("GET /v HTTP/1.0\r\nX-Call-Id: 7\r\n\r\n");
@@ -38,7 +38,7 @@
   EXPECT_EQ(out.front(), "GET /v HTTP/1.1\r\nX-Call-Id: 7\r\nHost: \r\nX-Budget-Ms: 5\r\n\r\n");
 }
 
-TEST(HttpWriter, KeepsTheContentLengthOfAResponseToHead) {
+TEST(HttpWriter, KeepsContentLengthOfResponseToHead) {
   Pool pool(8);
   Message a(pool, Message::Kind::response);
   a.expect_no_body();
--- a/tests/protocol/json_test.cpp
+++ b/tests/protocol/json_test.cpp
@@ -1,4 +1,4 @@
-// JSON values and their flattened form.
+// Tests of the JSON parser and of the conversion to settings.
 #include "protocol/json.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 using Settings = std::map<std::string, std::string, std::less<>>;
 
-TEST(Json, FlattensToThePathsOfTheSettings) {
+TEST(Json, FlattensToSettingPaths) {
   auto v = Json::parse(
       R"({"a":{"b":1.50,"c":[1,"x y",true,null]},"list":[{"n":"one, two"},{"n":2}],"none":[],"t":false,"z":null})");
   ASSERT_TRUE(v);
@@ -28,7 +28,7 @@
                          {"z", ""}}));
 }
 
-TEST(Json, RejectsWhatIsNotOneJsonValue) {
+TEST(Json, RejectsInvalidJson) {
   for (std::string bad : {"",    "{",   "[1,]",       "{\"a\"}", "{\"a\":}", "{a:1}",     "tru",
                           "01x", "nan", "-",          "\"\n\"",  R"("\x")",  R"("\u12")", "1 2",
                           "[1",  "\"a", "{\"a\":1,}", "+1",      ".5",       "1e999"}) {
--- a/tests/protocol/request_hints_test.cpp
+++ b/tests/protocol/request_hints_test.cpp
@@ -1,4 +1,4 @@
-// Parsers of request hints, load reports and target paths.
+// Tests of the parsers of request hints, load reports and request targets.
 #include "protocol/request_hints.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 namespace meadowgauge::protocol {
 namespace {
 
-TEST(LoadReport, IsReadInTheOrderOfTheColumns) {
+TEST(LoadReport, FollowsTheConfiguredColumns) {
   std::vector<std::string_view> columns = {"err_ps", "load_share"};
   auto r = read_load_report("util=0.61, eps=2,other=7", columns);
   EXPECT_EQ(r.count, 2);
@@ -27,7 +27,7 @@
     EXPECT_EQ(read_load_report(bad, columns).count, 0) << bad;
 }
 
-TEST(CallInfo, LeavesOutWhatIsInvalid) {
+TEST(CallInfo, SkipsInvalidItems) {
   auto a = read_request_hints("work_ms=12.5, entity=tool-7,tier=2");
   EXPECT_EQ(a.work_ms, 12.5);
   EXPECT_EQ(a.key, stable_hash("tool-7"));
@@ -43,7 +43,8 @@
   for (std::size_t n = 0; n < whole.size(); ++n) read_request_hints(whole.substr(0, n));
 }
 
-TEST(Target, FindsAPathThatSomeParserResolvesToAnotherPrefix) {
+// Guards against a path that the balancer classifies by one prefix and a server resolves to another.
+TEST(Target, DetectsPathsThatMayLeaveTheirPrefix) {
   for (std::string good :
        {"/r/1", "/r", "/r/", "/r/a/../b", "/r/./1", "/r/a%20b", "/r/..a/b", "/r/a//b", "/r/1.2", "/r/a%2fb",
         "/r/a\\b", "/r/...", "/r/a;v=1/b", "/r/%zz", "/r/%", "/r/%2"})
--- a/tests/protocol/watch_reader_test.cpp
+++ b/tests/protocol/watch_reader_test.cpp
@@ -1,5 +1,5 @@
-// The body of a watch as typed events, without sockets: lists on one and several lines, truncated,
-// unreadable.
+// Tests of the parser of watch bodies, without sockets: lists on one line and on several lines, truncated
+// lists and unreadable text.
 #include "protocol/watch_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -9,14 +9,14 @@
 namespace meadowgauge::protocol {
 namespace {
 
-// One letter per event: l line, i incomplete list, L list, u unreadable text.
+// One letter per event: l: line, i: incomplete list, L: list, u: unreadable text.
 std::string kinds(const std::vector<WatchEvent>& events) {
   std::string letters;
   for (const auto& event : events) letters += "liLu"[event.index()];
   return letters;
 }
 
-TEST(WatchReader, EachLineIsASignOfLifeAndAListIsAnEvent) {
+TEST(WatchReader, ReportsEveryLineAndEveryList) {
   WatchReader reader;
   EXPECT_EQ(kinds(reader.feed("\n")), "l");
   EXPECT_EQ(kinds(reader.feed(R"({"seq":7,"whole":false,)")), "");
@@ -25,13 +25,14 @@
   EXPECT_EQ(std::get<EndpointList>(events[1]).seq, 7);
 }
 
-TEST(WatchReader, AListOnSeveralLinesEndsWithItsBrackets) {
+TEST(WatchReader, MultiLineListEndsAtItsClosingBracket) {
   WatchReader reader;
   EXPECT_EQ(kinds(reader.feed("{\n \"seq\": 7,\n")), "lili");
   EXPECT_EQ(kinds(reader.feed(" \"whole\": true, \"hosts\": []\n}\n")), "lilL");
 }
 
-TEST(WatchReader, TruncatedListIsUnreadableAndTheNextIsRead) {
+// Guards against a truncated list that absorbs the next list.
+TEST(WatchReader, ReadsTheListAfterATruncatedList) {
   const std::string next = R"({"seq":8,"whole":true,"hosts":[]})"
                            "\n";
   WatchReader reader;
@@ -39,11 +40,11 @@
   EXPECT_EQ(kinds(reader.feed("{\n" + next)), "liulL");
 }
 
-TEST(WatchReader, WhatIsNoListIsUnreadableAndSaysWhy) {
+TEST(WatchReader, ReportsWhyTextIsUnreadable) {
   WatchReader reader;
   auto events = reader.feed("[]\n");
   ASSERT_EQ(kinds(events), "lu");
-  EXPECT_EQ(std::get<UnreadableEndpointList>(events[1]).reason, "no list");
+  EXPECT_EQ(std::get<UnreadableEndpointList>(events[1]).reason, "not an endpoint list");
   EXPECT_EQ(kinds(reader.feed(std::string(WatchReader::max_list_bytes + 1, 'x') + "\n")), "u");
 }
 
--- a/tests/proxy/balancer_turns_test.cpp
+++ b/tests/proxy/balancer_turns_test.cpp
@@ -25,7 +25,7 @@
 constexpr int pause_count = 4;  // a faulty loop delays each response; the earliest is checked
 
 // A server that never answers: only the kernel accepts its connections.
-struct UnresponsiveServer final : transport::Ready {
+struct UnresponsiveServer final : transport::EventHandler {
   void ready(std::uint32_t) override {}
   transport::Loop loop;
   transport::Listener listener{loop, *transport::Address::parse("127.0.0.1:0"), *this};
--- a/tests/proxy/upstream/idempotency_judge.hpp
+++ b/tests/proxy/upstream/idempotency_judge.hpp
@@ -116,7 +116,7 @@
 
 // A server that receives requests, reports their execution to the judge, and responds, resets the connection
 // or never responds.
-class StandIn final : transport::Ready {
+class StandIn final : transport::EventHandler {
  public:
   StandIn(transport::Loop& loop, Judge& judge, RandomSource& random_source)
       : listener_(loop, *transport::Address::parse("127.0.0.1:0"), *this),
--- a/tests/proxy/upstream/upstream_parts_test.cpp
+++ b/tests/proxy/upstream/upstream_parts_test.cpp
@@ -152,7 +152,7 @@
 }
 
 // Upstreams with one endpoint that the test plays. The test sets the clock; run_loop() checks the invariants.
-struct UpstreamsWithEndpoint : transport::Ready {
+struct UpstreamsWithEndpoint : transport::EventHandler {
   transport::Loop loop;
   transport::Pool buffers{64};
   transport::DueTimes due_times;
--- a/tests/proxy/upstream/upstreams_test.cpp
+++ b/tests/proxy/upstream/upstreams_test.cpp
@@ -48,7 +48,7 @@
 }
 
 // Attempts of one request at one server that the test plays. The test sets the clock.
-struct UpstreamsFixture : transport::Ready {
+struct UpstreamsFixture : transport::EventHandler {
   transport::Loop loop;
   transport::Pool pool{64};
   transport::DueTimes due;
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -1,4 +1,4 @@
-// The frames of the simulator's wire, good and damaged, and what their records mean.
+// Tests of the simulator's wire protocol: valid and damaged frames, and the meaning of their records.
 #include "simulator_adapter/codec.hpp"
 
 #include <gtest/gtest.h>
@@ -12,8 +12,12 @@
 namespace meadowgauge::simulator_adapter {
 namespace {
 
-std::string frame(std::uint32_t count, const std::string& rest, double now_ms = 1000, int claim = -1) {
-  std::uint32_t size = claim >= 0 ? claim : static_cast<std::uint32_t>(batch_header_size + rest.size());
+// A batch of `count` records. `size_in_header`: the size in the header, if it should differ from the
+// real size.
+std::string frame(std::uint32_t count, const std::string& rest, double now_ms = 1000,
+                  int size_in_header = -1) {
+  std::uint32_t size =
+      size_in_header >= 0 ? size_in_header : static_cast<std::uint32_t>(batch_header_size + rest.size());
   std::string s(batch_header_size, '\0');
   std::memcpy(s.data(), &count, 4);
   std::memcpy(s.data() + 4, &size, 4);
@@ -21,14 +25,14 @@
   return s + rest;
 }
 
-TEST(Batch, EmptyIsFine) {
+TEST(Batch, AcceptsNoRecords) {
   auto f = frame(0, "");
   Batch b(f);
   EXPECT_EQ(b.size(), 0u);
   EXPECT_EQ(b.now_ms(), 1000);
 }
 
-// The fault that handling `f` ends with; none where it is handled.
+// The fault that `handle` throws; absent if it throws none.
 template <class F>
 std::optional<FrameFault> fault_of(F&& handle) {
   try {
@@ -40,13 +44,13 @@
   return std::nullopt;
 }
 
-TEST(Batch, ImpossibleSizesAreRefused) {
+TEST(Batch, RejectsInvalidSizes) {
   auto refused = [](const std::string& f) { return fault_of([&] { Batch{f}; }); };
   EXPECT_EQ(refused("short"), FrameFault::short_header);
-  EXPECT_EQ(refused(frame(1, "")), FrameFault::record_count);
-  EXPECT_EQ(refused(frame(0xffffffff, std::string(48, '\0'))), FrameFault::record_count);
-  EXPECT_EQ(refused(frame(0, "", 0, 17)), FrameFault::length_mismatch);
-  EXPECT_EQ(refused(frame(0, "", std::numeric_limits<double>::quiet_NaN())), FrameFault::impossible_clock);
+  EXPECT_EQ(refused(frame(1, "")), FrameFault::record_count_too_large);
+  EXPECT_EQ(refused(frame(0xffffffff, std::string(48, '\0'))), FrameFault::record_count_too_large);
+  EXPECT_EQ(refused(frame(0, "", 0, 17)), FrameFault::batch_size_mismatch);
+  EXPECT_EQ(refused(frame(0, "", std::numeric_limits<double>::quiet_NaN())), FrameFault::clock_out_of_range);
   auto f = frame(0, "tail");
   Batch b(f);
   EXPECT_EQ(b.tail(1, 3), "ail");
@@ -55,7 +59,7 @@
   EXPECT_THROW((void)b.tail(0, 0x10000000, 22), FrameError);
 }
 
-TEST(Reply, NamesTheInstanceOnceAndSharesTheTail) {
+TEST(Reply, SelectsInstancesOnceAndAppendsTheTail) {
   Reply r;
   r.clear();
   EXPECT_EQ(r.frame().size(), reply_header_size);
@@ -77,7 +81,7 @@
   EXPECT_EQ(f.substr(f.size() - 17), "two servers known");
 }
 
-// A record with this code and those fields side by side.
+// A record with this code and with `fields` without gaps.
 template <class... Fields>
 std::string record(EventCode code, Fields... fields) {
   std::string bytes(event_size, '\0');
@@ -87,7 +91,7 @@
   return bytes;
 }
 
-TEST(WireMessages, OutcomesThatAreNotKnownAreErrors) {
+TEST(WireMessages, UnknownOutcomesAreErrors) {
   auto outcome = [](std::uint16_t code) {
     auto bytes = record(EventCode::probe_done, std::uint32_t{7}, code, 2.5);
     return read_probe_done({bytes.data()}).outcome;
@@ -102,7 +106,7 @@
   for (std::uint16_t code : {0, 11, 20, 90, 65535}) EXPECT_EQ(outcome(code), Outcome::error) << code;
 }
 
-TEST(WireMessages, LoadReportsHoldFourValuesAtMost) {
+TEST(WireMessages, LoadReportsHoldAtMostFourValues) {
   auto bytes = record(EventCode::probe_done, std::uint32_t{7}, std::uint16_t{10}, 2.5, std::uint8_t{200},
                       1.0F, 2.0F, 3.0F, 4.0F, 5.0F);
   auto probe = read_probe_done({bytes.data()});
@@ -112,7 +116,7 @@
   EXPECT_EQ(probe.load_report.values[3], 4.0F);
 }
 
-TEST(Host, LateEventsAreIgnoredUnknownListsAreFaults) {
+TEST(Host, IgnoresLateEventsAndRejectsUnknownLists) {
   Host host;
   const std::string settings = "stage=0\n";
   auto select = record(EventCode::select_instance, std::uint16_t{3});
@@ -121,15 +125,15 @@
   auto update = record(EventCode::endpoint_update, std::uint8_t{1}, std::uint32_t{0}, std::uint16_t{7});
   auto handle = [&](const std::string& f) { return std::string(host.handle(Batch(f))); };
   EXPECT_EQ(fault_of([&] { handle(frame(1, start + settings)); }), FrameFault::no_instance_selected);
-  EXPECT_EQ(handle(frame(2, select + update)).size(), reply_header_size);  // 3 has not been started
-  // Its first periodic timer, after the record that selects it.
+  EXPECT_EQ(handle(frame(2, select + update)).size(), reply_header_size);  // instance 3 has not started
+  // The reply has the record that selects the instance, and its first periodic timer.
   EXPECT_EQ(handle(frame(2, select + start + settings)).size(), reply_header_size + 2 * action_size);
   EXPECT_EQ(fault_of([&] { handle(frame(2, select + update)); }), FrameFault::unknown_endpoint_list);
   EXPECT_EQ(handle(frame(2, select + record(EventCode::stop_instance))).size(), reply_header_size);
   EXPECT_EQ(handle(frame(2, select + update)).size(), reply_header_size);
 }
 
-TEST(Settings, AreReadByLine) {
+TEST(Settings, HaveOnePerLine) {
   auto s = parse_settings("a.b=1\nskip\n=x\nc=2=3\r\nd=");
   EXPECT_EQ(s, (Settings{{"a.b", "1"}, {"c", "2=3"}, {"d", ""}}));
 }
--- a/tests/transport/transport_test.cpp
+++ b/tests/transport/transport_test.cpp
@@ -1,4 +1,4 @@
-// Buffers, due times and connections, without any HTTP.
+// Tests of buffers, due times, the event loop and connections, without HTTP.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <sys/socket.h>
@@ -16,25 +16,25 @@
 namespace meadowgauge::transport {
 namespace {
 
-// Guards against turns whose work or delay is measured from the wrong moment.
+// Guards against measuring the work or the delay of a turn from the wrong point in time.
 TEST(TurnMeter, MeasuresWorkAndDelay) {
   TurnMeter turns(1000);
-  turns.turn_began(1020, 1035);  // due while it waited
+  turns.turn_began(1020, 1035);  // became due during the wait
   EXPECT_EQ(turns.current().late_ms, 15);
   turns.turn_ended(1065);
   EXPECT_EQ(turns.current().work_ms, 30);
-  EXPECT_EQ(turns.time_until(1100), 35);  // from the turn's end, not from its begin
-  turns.turn_began(1050, 1070);           // was due before the wait began
+  EXPECT_EQ(turns.time_until(1100), 35);  // from the end of the turn, not from its begin
+  turns.turn_began(1050, 1070);           // was due before the start of the wait
   EXPECT_EQ(turns.current().late_ms, 5);
   EXPECT_EQ(turns.current().gap_ms, 35);
   turns.turn_ended(1071);
-  turns.turn_began(1100, 1080);  // an event came first
+  turns.turn_began(1100, 1080);  // an event ended the wait early
   EXPECT_EQ(turns.current().late_ms, 0);
   EXPECT_EQ(turns.longest().late_ms, 15);
   EXPECT_EQ(turns.longest().work_ms, 30);
 }
 
-TEST(Pool, LendsNoMoreThanItsBoundAndLendsAgain) {
+TEST(Pool, EnforcesItsLimitAndReusesBuffers) {
   Pool pool(2);
   auto a = pool.take();
   auto* at = a.data();
@@ -46,10 +46,10 @@
   EXPECT_EQ(pool.out(), 1u);
   a = {};
   EXPECT_EQ(pool.out(), 0u);
-  EXPECT_EQ(pool.take().data(), at);  // the one given back last
+  EXPECT_EQ(pool.take().data(), at);  // the buffer that was returned last
 }
 
-TEST(Pool, KeepsFewOfThoseThatAreBack) {
+TEST(Pool, TrimFreesIdleBuffers) {
   Pool pool(1000);
   {
     std::vector<Buffer> all;
@@ -60,7 +60,7 @@
   EXPECT_LE(pool.spare(), 16u);
 }
 
-TEST(Chain, HoldsWhatAStringWould) {
+TEST(Chain, BehavesLikeAString) {
   bool ok = rc::check([] {
     Pool pool(8);
     {
@@ -77,7 +77,7 @@
           chain.consume(size);
           model.erase(0, size);
         } else if (what == 2) {
-          chain.drop_after(size);
+          chain.truncate_to(size);
           model.resize(std::min(model.size(), size));
         } else {
           std::string from;
@@ -94,7 +94,7 @@
   EXPECT_TRUE(ok);
 }
 
-TEST(Chain, TakesAllOrNothing) {
+TEST(Chain, AppendsAllOrNothing) {
   Pool pool(2);
   Chain chain(pool);
   EXPECT_TRUE(chain.append("first"));
@@ -103,7 +103,7 @@
   EXPECT_EQ(pool.out(), 1u);
 }
 
-TEST(DueTimes, KeepOneTimeAKeyInOrder) {
+TEST(DueTimes, KeepOneTimePerKeyInOrder) {
   DueTimes due;
   double a = DueTimes::none, b = DueTimes::none;
   due.set(due_key(1, 7), a, 50);
@@ -120,7 +120,7 @@
   EXPECT_EQ(number_of(due_key(3, 9)), 9u);
 }
 
-TEST(Address, IsReadOrRefused) {
+TEST(Address, ParsesNumericAddressesOnly) {
   EXPECT_EQ(Address::parse("127.0.0.1:80")->family(), AF_INET);
   EXPECT_EQ(Address::parse("[::1]:80")->family(), AF_INET6);
   for (const auto* bad :
@@ -128,7 +128,8 @@
     EXPECT_FALSE(Address::parse(bad)) << bad;
 }
 
-struct Counter final : Ready {
+// Counts its events, then calls `then`.
+struct Counter final : EventHandler {
   int n = 0;
   std::uint32_t seen = 0;
   std::function<void()> then = [] {};
@@ -139,16 +140,17 @@
   }
 };
 
-// Two connections are ready in one batch; the first's turn closes the second and its number is used again.
-TEST(Loop, EventsOfAnEarlierHolderReachNobody) {
+// Guards against a stale event that reaches the wrong handler: two descriptors are ready in one batch, the
+// first handler closes the other descriptor, and a new registration reuses its number.
+TEST(Loop, DropsStaleEventsOfAReusedDescriptor) {
   Loop loop;
   int p[2], q[2];
   ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, p), 0);
   ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, q), 0);
-  Fd p0(p[0]), p1(p[1]), q0(q[0]), q1(q[1]);
+  Fd first_near(p[0]), first_far(p[1]), second_near(q[0]), second_far(q[1]);
   Counter first, second, later;
-  auto a = loop.add(p0.get(), first, EPOLLIN);
-  auto b = loop.add(q0.get(), second, EPOLLIN);
+  auto a = loop.add(first_near.get(), first, EPOLLIN);
+  auto b = loop.add(second_near.get(), second, EPOLLIN);
   Fd r0, r1;
   auto replace = [&](Fd& old, std::uint64_t token) {
     loop.remove(token, old.get());
@@ -160,29 +162,29 @@
     loop.add(r0.get(), later, EPOLLIN);
     first.then = second.then = [] {};
   };
-  first.then = [&] { replace(q0, b); };
-  second.then = [&] { replace(p0, a); };
-  ASSERT_EQ(write(p1.get(), "x", 1), 1);
-  ASSERT_EQ(write(q1.get(), "x", 1), 1);
+  first.then = [&] { replace(second_near, b); };
+  second.then = [&] { replace(first_near, a); };
+  ASSERT_EQ(write(first_far.get(), "x", 1), 1);
+  ASSERT_EQ(write(second_far.get(), "x", 1), 1);
   loop.wait(1000);
   loop.dispatch();
   EXPECT_EQ(first.n + second.n, 1);
   EXPECT_EQ(later.n, 0);
 }
 
-TEST(Loop, WhatAsksForAnotherTurnGetsItWithoutWaiting) {
+TEST(Loop, RepeatsEventsWithoutWaiting) {
   Loop loop;
   int p[2];
   ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, p), 0);
-  Fd p0(p[0]), p1(p[1]);
+  Fd first_near(p[0]), first_far(p[1]);
   Counter c;
-  auto token = loop.add(p0.get(), c, EPOLLIN);
+  auto token = loop.add(first_near.get(), c, EPOLLIN);
   loop.again(token, EPOLLIN);
   loop.wait(60000);
   loop.dispatch();
   EXPECT_EQ(c.n, 1);
   loop.again(token, EPOLLIN);
-  loop.remove(token, p0.get());
+  loop.remove(token, first_near.get());
   loop.wait(60000);
   loop.dispatch();
   EXPECT_EQ(c.n, 1);
@@ -208,7 +210,7 @@
   }
 };
 
-TEST(Stream, WritesInPartsWhatTheOtherSideTakesInParts) {
+TEST(Stream, TransfersLargeDataInParts) {
   Pair p;
   std::string sent(40 * buffer_size, 'x');
   for (std::size_t i = 0; i < sent.size(); ++i) sent[i] = static_cast<char>(i * 7 % 255);
@@ -216,7 +218,7 @@
   std::string got;
   while (got.size() < sent.size()) {
     ASSERT_TRUE(p.a->flush());
-    while (p.b->fill() == Stream::Got::bytes) {
+    while (p.b->fill() == Stream::ReadResult::bytes) {
       got += p.b->bytes();
       p.b->consume(p.b->bytes().size());
     }
@@ -228,14 +230,14 @@
   EXPECT_EQ(p.pool.out(), 0u);
 }
 
-TEST(Stream, DistinguishesQuietFromEndedAndNeverRaisesSigpipe) {
+TEST(Stream, DetectsTheEndAndRaisesNoSigpipe) {
   Pair p;
   EXPECT_TRUE(p.a->quiet());
-  EXPECT_EQ(p.a->fill(), Stream::Got::nothing);
+  EXPECT_EQ(p.a->fill(), Stream::ReadResult::nothing);
   p.b->close();
   while (p.a->quiet()) {
   }
-  EXPECT_EQ(p.a->fill(), Stream::Got::end);
+  EXPECT_EQ(p.a->fill(), Stream::ReadResult::end);
   for (bool ok = true; ok;) {
     if (p.a->out().size() == 0) {
       ASSERT_TRUE(p.a->out().append("x"));
@@ -244,7 +246,7 @@
   }
 }
 
-TEST(Listener, NamesTheAddressItCanNotHave) {
+TEST(Listener, ErrorNamesTheOccupiedAddress) {
   Pair p;
   try {
     Counter c;
