--- a/src/testbed/balancer_config_json.cpp
+++ b/src/testbed/balancer_config_json.cpp
@@ -25,7 +25,7 @@
 
 std::string balancer_seed(std::uint64_t seed, int tier, int balancer) {
   const auto number = static_cast<std::uint64_t>(tier) * 64 + static_cast<std::uint64_t>(balancer);
-  return formatted("%016llx", printable(mixed(seed, "balancer", number)));
+  return formatted("%016llx", printable(derive_seed(seed, "balancer", number)));
 }
 
 namespace {
--- a/src/testbed/experiment.cpp
+++ b/src/testbed/experiment.cpp
@@ -21,7 +21,7 @@
   std::iota(drawn.begin(), drawn.end(), 0);
   if (fault.drawn_share <= 0)
     return fault.kind == FaultSpec::Kind::rolling_restart ? drawn : std::vector<int>{0};
-  Rng rng(mixed(seed, "fault", fault_index));
+  Rng rng(derive_seed(seed, "fault", fault_index));
   std::shuffle(drawn.begin(), drawn.end(), rng);
   int drawn_count = std::clamp(static_cast<int>(std::lround(fault.drawn_share * count)), 1, count);
   drawn.resize(static_cast<std::size_t>(drawn_count));
--- a/src/testbed/model/datagram_fault.cpp
+++ b/src/testbed/model/datagram_fault.cpp
@@ -9,7 +9,8 @@
 
 constexpr int corrupted_bytes = 3;
 
-bool contains(const std::vector<int>& balancers, int balancer) {
+// An empty selection selects all balancers.
+bool is_selected(const std::vector<int>& balancers, int balancer) {
   return balancers.empty() || std::find(balancers.begin(), balancers.end(), balancer) != balancers.end();
 }
 
@@ -17,8 +18,8 @@
 
 bool DatagramFault::applies(int sender, int receiver, double now_ms) const {
   if (now_ms < at_ms || now_ms >= at_ms + for_ms) return false;
-  return (contains(from, sender) && contains(to, receiver)) ||
-         (both && contains(from, receiver) && contains(to, sender));
+  return (is_selected(from, sender) && is_selected(to, receiver)) ||
+         (both && is_selected(from, receiver) && is_selected(to, sender));
 }
 
 std::vector<DatagramPath::Delivery> DatagramPath::send(std::string bytes, double now_ms) {
@@ -43,7 +44,7 @@
         duplicate_after_ms = fault.ms;
         break;
       case Kind::corrupt:
-        for (int k = 0; k < corrupted_bytes && !bytes.empty(); ++k)
+        for (int i = 0; i < corrupted_bytes && !bytes.empty(); ++i)
           bytes[rng_() % bytes.size()] = static_cast<char>(rng_());
         break;
     }
--- a/src/testbed/model/fault_injection.cpp
+++ b/src/testbed/model/fault_injection.cpp
@@ -11,94 +11,94 @@
 namespace meadowgauge::testbed {
 namespace {
 
-// The words of files and command lines, in the order of the enumerators.
-constexpr auto kind_words =
+// Names in experiment files and on command lines, indexed by enumerator.
+constexpr auto kind_names =
     std::to_array<std::string_view>({"delay", "throttle", "cut", "reset", "half", "silence", "garble"});
-constexpr auto position_words =
+constexpr auto position_names =
     std::to_array<std::string_view>({"connect", "byte", "header", "body", "end", "time"});
 
-// Reads a number of at least 0 that takes the complete text.
+// Parses a number of at least 0. Returns false if other text precedes or follows the number.
 template <class T>
-bool read_number(std::string_view text, T& into) {
+bool read_number(std::string_view text, T& result) {
   const auto number = protocol::parse_number<T>(text);
   if (!number || !(*number >= T{})) return false;
-  into = *number;
+  result = *number;
   return true;
 }
 
 template <class Enum, class Words>
-bool read_enum(const Words& words, std::string_view text, Enum& into) {
-  for (std::size_t i = 0; i < std::size(words); ++i)
-    if (words[i] == text) {
-      into = static_cast<Enum>(i);
+bool read_enum(const Words& names, std::string_view text, Enum& result) {
+  for (std::size_t i = 0; i < std::size(names); ++i)
+    if (names[i] == text) {
+      result = static_cast<Enum>(i);
       return true;
     }
   return false;
 }
 
-// Reads "N" or "N-M".
-bool read_byte_range(std::string_view text, FaultInjection& into) {
+// Parses "N" or "N-M".
+bool read_byte_range(std::string_view text, FaultInjection& result) {
   auto dash = text.find('-');
-  if (dash == std::string_view::npos) return read_number(text, into.n);
-  return read_number(text.substr(0, dash), into.n) && read_number(text.substr(dash + 1), into.n_max) &&
-         into.n_max >= into.n;
+  if (dash == std::string_view::npos) return read_number(text, result.n);
+  return read_number(text.substr(0, dash), result.n) && read_number(text.substr(dash + 1), result.max_n) &&
+         result.max_n >= result.n;
 }
 
-bool read_position(std::string_view value, FaultInjection& into) {
+bool read_position(std::string_view value, FaultInjection& result) {
   using Position = FaultInjection::Position;
   auto colon = value.find(':');
-  if (!read_enum(position_words, value.substr(0, colon), into.position)) return false;
+  if (!read_enum(position_names, value.substr(0, colon), result.position)) return false;
   bool has_argument = colon != std::string_view::npos;
   auto argument = has_argument ? value.substr(colon + 1) : std::string_view{};
-  switch (into.position) {
+  switch (result.position) {
     case Position::connect:
     case Position::end:
       return !has_argument;
     case Position::header:
-      into.name = argument;
+      result.name = argument;
       return !argument.empty();
     case Position::body:
-      return !has_argument || read_number(argument, into.n);
+      return !has_argument || read_number(argument, result.n);
     case Position::time:
-      return read_number(argument, into.n);
+      return read_number(argument, result.n);
     case Position::byte:
-      return read_byte_range(argument, into);
+      return read_byte_range(argument, result);
   }
   return false;
 }
 
-// Reads a field with a numeric value; nullopt if `key` names no such field.
-std::optional<bool> read_number_field(std::string_view key, std::string_view value, FaultInjection& into) {
-  constexpr auto reals = std::to_array<std::pair<std::string_view, double FaultInjection::*>>(
+// Parses a field with a numeric value. Returns nullopt if no numeric field is named `key`.
+std::optional<bool> read_number_field(std::string_view key, std::string_view value, FaultInjection& result) {
+  constexpr auto real_fields = std::to_array<std::pair<std::string_view, double FaultInjection::*>>(
       {{"ms", &FaultInjection::ms},
        {"rate", &FaultInjection::rate},
        {"share", &FaultInjection::share},
        {"from", &FaultInjection::from_ms},
        {"until", &FaultInjection::until_ms}});
-  constexpr auto counts = std::to_array<std::pair<std::string_view, std::uint64_t FaultInjection::*>>(
+  constexpr auto count_fields = std::to_array<std::pair<std::string_view, std::uint64_t FaultInjection::*>>(
       {{"bytes", &FaultInjection::bytes},
        {"after", &FaultInjection::after_messages},
        {"every", &FaultInjection::every},
        {"most", &FaultInjection::max_injections}});
-  for (const auto& [name, member] : reals)
-    if (name == key) return read_number(value, into.*member);
-  for (const auto& [name, member] : counts)
-    if (name == key) return read_number(value, into.*member);
+  for (const auto& [name, member] : real_fields)
+    if (name == key) return read_number(value, result.*member);
+  for (const auto& [name, member] : count_fields)
+    if (name == key) return read_number(value, result.*member);
   return {};
 }
 
-bool read_field(std::string_view field, FaultInjection& into) {
+bool read_field(std::string_view field, FaultInjection& result) {
   const auto [key, value] = protocol::named_value(field).value_or(protocol::NamedValue{field, {}});
-  if (key == "at") return read_position(value, into);
+  if (key == "at") return read_position(value, result);
   if (key == "way") {
-    into.direction = value == "client" ? Direction::to_client : Direction::to_server;
+    result.direction = value == "client" ? Direction::to_client : Direction::to_server;
     return value == "server" || value == "client";
   }
   if (key == "target") {
-    into.target = value;
+    result.target = value;
     return !value.empty();
   }
-  return read_number_field(key, value, into).value_or(false) && into.every > 0 && into.share <= 1;
+  return read_number_field(key, value, result).value_or(false) && result.every > 0 && result.share <= 1;
 }
 
 }  // namespace
@@ -123,7 +123,7 @@
   std::string field;
   if (!(in >> field)) return Error{Error::Kind::empty, {}};
   FaultInjection injection;
-  if (!read_enum(kind_words, field, injection.kind)) return Error{Error::Kind::unknown_fault, field};
+  if (!read_enum(kind_names, field, injection.kind)) return Error{Error::Kind::unknown_fault, field};
   while (in >> field)
     if (!read_field(field, injection)) return Error{Error::Kind::unreadable_field, field};
   if (injection.kind == Kind::throttle && injection.rate <= 0)
@@ -133,10 +133,10 @@
 
 std::string FaultInjection::text() const {
   std::ostringstream out;
-  out << kind_words[static_cast<int>(kind)] << " at=" << position_words[static_cast<int>(position)];
+  out << kind_names[static_cast<int>(kind)] << " at=" << position_names[static_cast<int>(position)];
   if (position == Position::header) out << ':' << name;
   if (position == Position::byte || position == Position::body || position == Position::time) out << ':' << n;
-  if (n_max > 0) out << '-' << n_max;
+  if (max_n > 0) out << '-' << max_n;
   out << " way=" << (direction == Direction::to_client ? "client" : "server");
   if (ms > 0) out << " ms=" << ms;
   if (rate > 0) out << " rate=" << rate;
@@ -163,14 +163,14 @@
   if (connection % injection.every != 0 || now_ms < injection.from_ms) return false;
   if (injection.until_ms > 0 && now_ms >= injection.until_ms) return false;
   return injection.share >= 1 ||
-         uniform_of(mixed(seed_, "strike", mixed(connection, "", entry.id))) < injection.share;
+         uniform_of(derive_seed(seed_, "strike", derive_seed(connection, "", entry.id))) < injection.share;
 }
 
 std::uint64_t InjectionPlan::byte(const Entry& entry, std::uint64_t connection) const {
   const auto& injection = entry.injection;
-  if (injection.n_max <= injection.n) return injection.n;
-  return injection.n +
-         mixed(seed_, "byte", mixed(connection, "", entry.id)) % (injection.n_max - injection.n + 1);
+  if (injection.max_n <= injection.n) return injection.n;
+  return injection.n + derive_seed(seed_, "byte", derive_seed(connection, "", entry.id)) %
+                           (injection.max_n - injection.n + 1);
 }
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/model/front_balancer.hpp
+++ b/src/testbed/model/front_balancer.hpp
@@ -8,6 +8,7 @@
 
 namespace meadowgauge::testbed {
 
+// Targets are balancers by index. Times are milliseconds on the caller's clock.
 class FrontBalancer {
  public:
   // `zone_of`: the zone of each target; `detection_delay_ms`: from a target's failure to its removal.
@@ -21,22 +22,22 @@
   }
   void mark_down(int target, double now_ms) { down_since_[static_cast<std::size_t>(target)] = now_ms; }
 
-  // Returns the next target of the zone that counts as up, else one of any zone, else -1.
+  // Returns the next target of the zone that counts as up; if there is none, the next of any zone, or -1.
   int pick(int zone, double now_ms) {
     for (bool any_zone : {false, true})
       for (std::size_t i = 0; i < zone_of_.size(); ++i) {
-        auto at = (next_ + i) % zone_of_.size();
-        if (!any_zone && zone_of_[at] != zone) continue;
-        if (now_ms >= down_since_[at] + detection_delay_ms_) continue;
-        next_ = at + 1;
-        return static_cast<int>(at);
+        auto candidate = (next_ + i) % zone_of_.size();
+        if (!any_zone && zone_of_[candidate] != zone) continue;
+        if (now_ms >= down_since_[candidate] + detection_delay_ms_) continue;
+        next_ = candidate + 1;
+        return static_cast<int>(candidate);
       }
     return -1;
   }
 
  private:
   std::vector<int> zone_of_;
-  std::vector<double> down_since_;  // ms; infinity: up
+  std::vector<double> down_since_;  // by target, ms; infinity: up
   double detection_delay_ms_;
   std::size_t next_ = 0;
 };
--- a/src/testbed/model/server_model.cpp
+++ b/src/testbed/model/server_model.cpp
@@ -5,7 +5,7 @@
 
 namespace meadowgauge::testbed {
 
-bool DeduplicationCache::seen(std::string_view key, double window_ms, double now_ms) {
+bool DeduplicationCache::check_and_record(std::string_view key, double window_ms, double now_ms) {
   while (!by_expiry_.empty() && by_expiry_.front().first <= now_ms) {
     auto it = expiry_by_key_.find(by_expiry_.front().second);
     if (it != expiry_by_key_.end() && it->second <= now_ms) expiry_by_key_.erase(it);
@@ -20,10 +20,10 @@
 
 ServerModel::ServerModel(const ServerModelSpec& spec, std::uint64_t seed, double started_at_ms,
                          bool slow_start)
-    : spec_(spec), rng_(seed), started_at_ms_(started_at_ms), slow_start_(slow_start) {}
+    : spec_(spec), rng_(seed), started_at_ms_(started_at_ms), has_slow_start_(slow_start) {}
 
 double ServerModel::warmup_factor(double at_ms) const {
-  if (!slow_start_ || spec_.slow_start_ms <= 0) return 1;
+  if (!has_slow_start_ || spec_.slow_start_ms <= 0) return 1;
   double done = std::clamp((at_ms - started_at_ms_) / spec_.slow_start_ms, 0.0, 1.0);
   return spec_.slow_start_speed + (1 - spec_.slow_start_speed) * done;
 }
@@ -32,37 +32,39 @@
   return std::min(1.0, static_cast<double>(running_.size()) / static_cast<double>(spec_.cores));
 }
 
-// Compares the work offered in the last `overload_ms` with the capacity over that time at the current speed.
-bool ServerModel::overloads(double work_ms, double now_ms) {
-  if (!slow_start_ || warmup_factor(now_ms) >= 1 || spec_.overload_factor <= 0) return false;
+// Decides whether an arriving job crashes a server in slow start. `work_ms`: the job's work at full speed.
+// Limit: work offered in the last `overload_ms` > overload_factor * overload_ms * cores * current speed.
+// The checker reports such a crash as a violation of slow start.
+bool ServerModel::exceeds_overload_limit(double work_ms, double now_ms) {
+  if (!has_slow_start_ || warmup_factor(now_ms) >= 1 || spec_.overload_factor <= 0) return false;
   offered_.emplace_back(now_ms, work_ms);
-  offered_sum_ms_ += work_ms;
+  offered_work_ms_ += work_ms;
   while (offered_.front().first <= now_ms - spec_.overload_ms) {
-    offered_sum_ms_ -= offered_.front().second;
+    offered_work_ms_ -= offered_.front().second;
     offered_.pop_front();
   }
   double capacity_ms = spec_.overload_ms * spec_.cores * spec_.speed * warmup_factor(now_ms);
-  return offered_sum_ms_ > spec_.overload_factor * capacity_ms;
+  return offered_work_ms_ > spec_.overload_factor * capacity_ms;
 }
 
 ServerModel::Admission ServerModel::arrive(JobId job, double work_ms, std::string_view key,
                                            double deduplication_window_ms, double now_ms,
                                            DeduplicationCache* cache) {
-  if (crashed_) return Admission::crashed;
-  if (overloads(work_ms, now_ms)) {
-    crashed_ = true;
+  if (has_crashed_) return Admission::crashed;
+  if (exceeds_overload_limit(work_ms, now_ms)) {
+    has_crashed_ = true;
     running_.clear();
     queue_.clear();
     return Admission::crashed;
   }
-  if (silent_) return Admission::black_holed;
-  if (draining_) return Admission::draining;
-  if (fail_share_ > 0 && uniform(rng_) < fail_share_) return Admission::failed;
-  bool can_start = core_free() && now_ms >= stalled_until_ms_;
+  if (is_silent_) return Admission::black_holed;
+  if (is_draining_) return Admission::draining;
+  if (failure_share_ > 0 && uniform(rng_) < failure_share_) return Admission::failed;
+  bool can_start = has_free_core() && now_ms >= stalled_until_ms_;
   if (!can_start && static_cast<int>(queue_.size()) >= spec_.queue) return Admission::queue_full;
   // Records the key only after all rejections: a rejected request has not executed.
   if (cache && !key.empty() && deduplication_window_ms > 0 &&
-      cache->seen(key, deduplication_window_ms, now_ms))
+      cache->check_and_record(key, deduplication_window_ms, now_ms))
     return Admission::duplicate;
   if (can_start) {
     start(job, work_ms, now_ms);
@@ -77,7 +79,7 @@
   double slowdown = spec_.slowdown_threshold > 0
                         ? 1 + spec_.slowdown_slope * std::max(0.0, jobs_per_core - spec_.slowdown_threshold)
                         : 1;
-  double duration_ms = work_ms * slow_ * slowdown / (spec_.speed * warmup_factor(now_ms));
+  double duration_ms = work_ms * duration_factor_ * slowdown / (spec_.speed * warmup_factor(now_ms));
   running_.push_back({job, work_ms, now_ms + std::max(duration_ms, 0.0)});
 }
 
@@ -92,17 +94,17 @@
 
 double ServerModel::next_event_ms() const {
   double next_ms = std::numeric_limits<double>::infinity();
-  if (crashed_) return next_ms;
+  if (has_crashed_) return next_ms;
   for (const auto& job : running_) next_ms = std::min(next_ms, job.ends_ms);
-  if (!queue_.empty() && core_free()) next_ms = std::min(next_ms, stalled_until_ms_);
+  if (!queue_.empty() && has_free_core()) next_ms = std::min(next_ms, stalled_until_ms_);
   return std::max(next_ms, stalled_until_ms_);
 }
 
 std::vector<ServerModel::Progress> ServerModel::advance(double now_ms) {
   std::vector<Progress> done;
-  if (crashed_ || now_ms < stalled_until_ms_) return done;
+  if (has_crashed_ || now_ms < stalled_until_ms_) return done;
   for (;;) {
-    while (!queue_.empty() && core_free()) {
+    while (!queue_.empty() && has_free_core()) {
       auto job = queue_.front();
       queue_.pop_front();
       start(job.job, job.work_ms, now_ms);
@@ -117,9 +119,9 @@
 }
 
 bool ServerModel::invariants_hold() const {
-  if (crashed_) return running_.empty() && queue_.empty();
+  if (has_crashed_) return running_.empty() && queue_.empty();
   return static_cast<int>(running_.size()) <= spec_.cores && static_cast<int>(queue_.size()) <= spec_.queue &&
-         offered_sum_ms_ >= -1e-6;
+         offered_work_ms_ >= -1e-6;
 }
 
 }  // namespace meadowgauge::testbed
--- a/src/testbed/model/traffic.cpp
+++ b/src/testbed/model/traffic.cpp
@@ -7,18 +7,18 @@
 namespace meadowgauge::testbed {
 namespace {
 
-// Returns the index whose share of `sum` contains the point `u` of [0, 1).
+// Draws an index with a probability in proportion to its share. `sum`: of all shares; `u`: drawn from [0, 1).
 int draw_index(const std::vector<double>& shares, double sum, double u) {
-  double left = u * sum;
+  double remainder = u * sum;
   int last = 0;
   for (int i = 0; i < static_cast<int>(shares.size()); ++i) {
     double share = shares[static_cast<std::size_t>(i)];
     if (share <= 0) continue;
-    if (left < share) return i;
-    left -= share;
+    if (remainder < share) return i;
+    remainder -= share;
     last = i;
   }
-  return last;  // rounding errors can leave a remainder
+  return last;  // rounding errors may leave a remainder after the last share
 }
 
 double sum_of(const std::vector<double>& shares) {
@@ -27,7 +27,7 @@
   return sum;
 }
 
-bool concerns(const PhaseSpec& phase, const TenantSpec& tenant) {
+bool applies_to(const PhaseSpec& phase, const TenantSpec& tenant) {
   return phase.tenant.empty() || phase.tenant == tenant.name;
 }
 
@@ -45,17 +45,18 @@
     : spec_(std::move(spec)),
       request_classes_(std::move(request_classes)),
       tenants_(std::move(tenants)),
-      rng_(mixed(seed, "traffic", static_cast<std::uint64_t>(worker))),
+      rng_(derive_seed(seed, "traffic", static_cast<std::uint64_t>(worker))),
       worker_share_(1.0 / workers),
       next_number_(static_cast<std::uint64_t>(worker)),
       number_step_(static_cast<std::uint64_t>(workers)) {
   if (tenants_.empty()) tenants_.push_back({});
   normalize_shares(tenants_);
-  // The bound for thinning: overlapping phases multiply, so the bound multiplies their peaks.
+  // The upper bound of the rate for thinning. Overlapping phases multiply, so the bound multiplies their
+  // peaks.
   for (const auto& tenant : tenants_) {
     double multiplier = 1;
     for (const auto& phase : spec_.phases)
-      if (concerns(phase, tenant)) multiplier *= std::max({1.0, phase.from, phase.to});
+      if (applies_to(phase, tenant)) multiplier *= std::max({1.0, phase.from, phase.to});
     peak_rate_ += spec_.rate * tenant.share * multiplier;
   }
   tenant_rates_.resize(tenants_.size());
@@ -65,7 +66,7 @@
   const auto& spec = tenants_[static_cast<std::size_t>(tenant)];
   double rate = spec_.rate * spec.share;
   for (const auto& phase : spec_.phases)
-    if (at_ms >= phase.at_ms && at_ms < phase.until_ms && concerns(phase, spec))
+    if (at_ms >= phase.at_ms && at_ms < phase.until_ms && applies_to(phase, spec))
       rate *= phase.from + (phase.to - phase.from) * (at_ms - phase.at_ms) / (phase.until_ms - phase.at_ms);
   return rate;
 }
@@ -73,8 +74,8 @@
 Arrival Traffic::next() {
   double peak = std::max(peak_rate_ * worker_share_, 1e-9);
   for (;;) {
-    double gap = spec_.poisson ? -std::log(1 - uniform(rng_)) : 1;
-    at_ms_ += gap / peak * 1000;
+    double relative_gap = spec_.poisson ? -std::log(1 - uniform(rng_)) : 1;
+    at_ms_ += relative_gap / peak * 1000;
     double total = 0;
     for (std::size_t i = 0; i < tenants_.size(); ++i)
       total += tenant_rates_[i] = rate(static_cast<int>(i), at_ms_) * worker_share_;
--- a/src/testbed/server_fleet.cpp
+++ b/src/testbed/server_fleet.cpp
@@ -25,7 +25,7 @@
       experiment_(experiment),
       seed_(seed),
       addresses_(addresses),
-      rng_(mixed(seed, "fleet")) {
+      rng_(derive_seed(seed, "fleet")) {
   if (experiment.fleet)
     datagram_relay_ = std::make_unique<DatagramRelay>(
         context, experiment.tiers.front().balancers,
@@ -55,7 +55,7 @@
   const auto& kinds = spec(tier).kinds;
   double sum = 0;
   for (const auto& kind : kinds) sum += kind.share;
-  double left = sum * uniform_of(mixed(seed_, "kind", stream_number(tier, server)));
+  double left = sum * uniform_of(derive_seed(seed_, "kind", stream_number(tier, server)));
   const ServerKindSpec* drawn = nullptr;
   for (const auto& kind : kinds) {
     drawn = &kind;
@@ -69,7 +69,7 @@
   const auto* kind = draw_kind(tier, server_index);
   Server::Config config{.tier = tier,
                         .server = server_index,
-                        .seed = mixed(seed_, "backend", stream_number(tier, server_index)),
+                        .seed = derive_seed(seed_, "backend", stream_number(tier, server_index)),
                         .idle_ms = tier_spec.idle_ms,
                         .speed = kind ? kind->speed : 1,
                         .load_report_columns = tier_spec.load_report_columns};
@@ -141,7 +141,7 @@
     auto injections = injections_for(tier, server_index);
     for (int b = 0; b < spec(tier).balancers; ++b) {
       const auto number = static_cast<std::uint64_t>(server_index) * 64 + static_cast<std::uint64_t>(b);
-      auto seed = mixed(seed_, "plan", number);
+      auto seed = derive_seed(seed_, "plan", number);
       auto& plan = at.plans.emplace_back(std::make_unique<InjectionPlan>(injections, seed));
       at.relays.push_back(std::make_unique<Relay>(context_, addresses_.relay(tier, server_index, b),
                                                   addresses_.server(tier, server_index, b), *plan, begin_ms));
--- a/src/testbed/stand_ins/command_server.hpp
+++ b/src/testbed/stand_ins/command_server.hpp
@@ -1,4 +1,4 @@
-// A socket that accepts commands, one per line, and replies to each by a handler.
+// A socket server for commands, one per line. A handler returns the reply to each command.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 class CommandServer final : transport::EventHandler, TestbedContext::Component {
  public:
-  // Takes a command without its line end; returns the reply with its line end.
+  // Gets a command without its line end; returns the reply with its line end.
   using Handler = std::function<std::string(const std::string& command)>;
   // Throws std::system_error if it cannot listen.
   CommandServer(TestbedContext& context, const transport::Address& listen, Handler handler)
@@ -34,17 +34,17 @@
     CommandServer& server;
     std::uint64_t number;
     transport::Stream stream;
-    std::string unread;  // an incomplete line
+    std::string unhandled;  // an incomplete line
   };
-  void ready(std::uint32_t) override;  // the listener
+  void ready(std::uint32_t) override;  // accepts connections
   void read_from(Connection& connection);
-  // Returns false if the connection must be closed.
-  bool answer_lines(Connection& connection);
+  // Replies to the complete commands received so far. Returns false if the connection must be closed.
+  bool reply_to_commands(Connection& connection);
   void close(Connection& connection);
 
   Handler handler_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  std::vector<std::unique_ptr<Connection>> closed_;  // until the end of the turn
+  std::vector<std::unique_ptr<Connection>> closed_;  // kept until the end of the turn
   std::uint64_t next_number_ = 0;
   transport::Listener listener_;
 };
--- a/src/testbed/stand_ins/datagram_relay.cpp
+++ b/src/testbed/stand_ins/datagram_relay.cpp
@@ -22,12 +22,12 @@
 
 }  // namespace
 
-DatagramRelay::DatagramRelay(TestbedContext& context, int balancers, const OwnAddress& own,
+DatagramRelay::DatagramRelay(TestbedContext& context, int balancers, const OwnAddress& own_address,
                              const PeerAddress& peer_address, const std::vector<DatagramFault>& faults,
                              std::uint64_t seed)
     : Component(context), balancers_(balancers) {
   for (int from = 0; from < balancers; ++from) {
-    own_addresses_.push_back(own(from));
+    own_addresses_.push_back(own_address(from));
     for (int to = 0; to < balancers; ++to) {
       auto& endpoint = endpoints_.emplace_back();
       if (from == to) continue;
@@ -51,13 +51,14 @@
     socklen_t size = sizeof sender;
     auto received =
         recvfrom(fd.get(), bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&sender), &size);
-    // ECONNREFUSED reports an earlier datagram to a closed port; this socket stays usable.
+    // ECONNREFUSED reports that an earlier datagram went to a closed port; the socket stays usable.
     if (received < 0 && errno == ECONNREFUSED) continue;
     if (received < 0) return;
-    // Accepts datagrams of that balancer only.
-    bool expected =
+    // Ignores datagrams from any other address than that of balancer `from`.
+    bool is_expected_sender =
         transport::Address::seen(sender, size) == relay.own_addresses_[static_cast<std::size_t>(from)];
-    if (expected) relay.forward(*this, std::string(bytes.data(), static_cast<std::size_t>(received)));
+    if (is_expected_sender)
+      relay.forward(*this, std::string(bytes.data(), static_cast<std::size_t>(received)));
   }
 }
 
@@ -75,7 +76,7 @@
   on_timer(0);
 }
 
-// Sends from the address that the receiver knows as the sender's.
+// Sends from the socket whose address the receiver has configured for the sender.
 void DatagramRelay::deliver(int from, int to, const std::string& bytes) {
   const auto& at = own_addresses_[static_cast<std::size_t>(to)];
   sendto(endpoint(to, from).fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL, at.raw(), at.size());
--- a/src/testbed/stand_ins/datagram_relay.hpp
+++ b/src/testbed/stand_ins/datagram_relay.hpp
@@ -1,5 +1,5 @@
-// Relays datagrams between balancers and applies the run's datagram faults. A balancer knows each peer by an
-// address of the relay, and receives datagrams from the address that it knows as the sender's.
+// Relays datagrams between balancers and applies the run's datagram faults. Each balancer is configured with
+// an address of the relay for each of its peers; a datagram reaches it from its address for the sender.
 #pragma once
 
 #include <cstdint>
@@ -17,28 +17,30 @@
 
 namespace meadowgauge::testbed {
 
+// Has one socket for each ordered pair of balancers. Delayed datagrams are dropped beyond 100,000.
 class DatagramRelay final : TestbedContext::Component {
  public:
-  // The address of a balancer, and the address by which a balancer knows a peer.
+  // OwnAddress returns the address that a balancer is bound to; PeerAddress the relay's address that
+  // `balancer` is configured with for `peer`.
   using OwnAddress = std::function<transport::Address(int balancer)>;
   using PeerAddress = std::function<transport::Address(int balancer, int peer)>;
   // Binds all sockets; throws std::system_error if that fails. `faults` outlives the relay.
-  DatagramRelay(TestbedContext& context, int balancers, const OwnAddress& own,
+  DatagramRelay(TestbedContext& context, int balancers, const OwnAddress& own_address,
                 const PeerAddress& peer_address, const std::vector<DatagramFault>& faults,
                 std::uint64_t seed);
   ~DatagramRelay() override;
   DatagramRelay(const DatagramRelay&) = delete;
   DatagramRelay& operator=(const DatagramRelay&) = delete;
-  // The run begins at `at_ms`; the faults' times count from there.
+  // Starts the run at `at_ms`, from which the faults' times count.
   void begin(double at_ms) { begin_ms_ = at_ms; }
   void on_timer(std::uint64_t number) override;
 
-  // The datagrams that balancers sent, delivered or not, and their bytes.
+  // The number of datagrams that balancers sent, delivered or not, and their bytes.
   [[nodiscard]] std::uint64_t datagrams() const { return datagrams_; }
   [[nodiscard]] std::uint64_t bytes() const { return bytes_; }
 
  private:
-  // The socket by which balancer `from` knows balancer `to`.
+  // The socket to which balancer `from` sends its datagrams for balancer `to`.
   struct Endpoint final : transport::EventHandler {
     Endpoint(DatagramRelay& owner, int from_balancer, int to_balancer, transport::Fd socket,
              const DatagramPath& datagram_path)
@@ -48,7 +50,7 @@
     int from, to;
     transport::Fd fd;
     DatagramPath path;
-    std::uint64_t token = 0;  // of the loop
+    std::uint64_t token = 0;  // of the event loop
   };
   struct Delayed {
     int from, to;
--- a/src/testbed/stand_ins/discovery.cpp
+++ b/src/testbed/stand_ins/discovery.cpp
@@ -12,20 +12,20 @@
 namespace meadowgauge::testbed {
 namespace {
 
-constexpr double heartbeat_interval_ms = 2000;  // a watch receives an empty line as heartbeat
+constexpr double heartbeat_interval_ms = 2000;  // of the empty lines that keep a watch alive
 
 std::string chunk(const std::string& line) { return formatted("%zx\r\n", line.size()) + line + "\r\n"; }
 
-nlohmann::json json_report(const DiscoveryEndpoint& endpoint, int balancer) {
-  constexpr std::array health_words{"active", "leaving", "left"};
+nlohmann::json endpoint_json(const DiscoveryEndpoint& endpoint, int balancer) {
+  constexpr std::array health_names{"active", "leaving", "left"};
   return {{"host", endpoint.host},   {"dial", endpoint.addresses[static_cast<std::size_t>(balancer)]},
           {"site", endpoint.zone},   {"class", endpoint.kind},
-          {"block", endpoint.block}, {"health", health_words[static_cast<std::size_t>(endpoint.health)]},
+          {"block", endpoint.block}, {"health", health_names[static_cast<std::size_t>(endpoint.health)]},
           {"share", endpoint.share}, {"born_ms", std::floor(endpoint.started_ms)}};
 }
 
-// Returns the version of a watch's `after=N`; 0 without one.
-std::uint64_t version_in(std::string_view target) {
+// Returns N of `after=N` in a watch's request target; 0 if there is none.
+std::uint64_t requested_version(std::string_view target) {
   constexpr std::string_view key = "after=";
   std::uint64_t version = 0;
   auto at = target.find(key);
@@ -54,9 +54,9 @@
   auto hosts = nlohmann::json::array();
   for (std::size_t i = 0; i < agent.endpoints.size(); ++i) {
     const auto& endpoint = agent.endpoints[i];
-    bool left_out =
+    bool is_omitted =
         complete ? endpoint.health == DiscoveryEndpoint::Health::left : agent.changed_at[i] <= after;
-    if (!left_out) hosts.push_back(json_report(endpoint, balancer));
+    if (!is_omitted) hosts.push_back(endpoint_json(endpoint, balancer));
   }
   return nlohmann::json({{"seq", agent.version}, {"whole", complete}, {"hosts", hosts}}).dump();
 }
@@ -75,7 +75,7 @@
   if (target.substr(0, target.find('?')) != protocol::names::endpoint_list)
     return http_.respond(connection, 404, "", "");
   if (target.find("watch=1") != std::string_view::npos)
-    return start_watch(connection, listener, version_in(target));
+    return start_watch(connection, listener, requested_version(target));
   http_.respond(connection, 200, "Content-Type: application/json\r\n", complete_list(listener));
   report_notified(listener, 0);
 }
@@ -99,7 +99,7 @@
 void Discovery::notify_watches(int balancer) {
   if (silent_) return;
   auto& at = agent(balancer);
-  // Iterates over a copy: a failed write ends the watch, and on_disconnect() removes it from the list.
+  // Iterates over a copy: a failed write closes the connection, and on_disconnect() removes its watch.
   auto watches = at.watches;
   for (const auto& watch : watches) {
     if (watch.sent_version >= at.version) continue;
@@ -138,7 +138,8 @@
   if (!on) notify_all_watches();
 }
 
-// Returns whether an update was applied. While discovery is silent, updates stay pending.
+// Applies the pending updates that are due, in order of time. Returns whether there were any. While discovery
+// is silent, all updates stay pending.
 bool Discovery::apply_due_updates() {
   std::stable_sort(pending_.begin(), pending_.end(),
                    [](const PendingUpdate& a, const PendingUpdate& b) { return a.at_ms < b.at_ms; });
--- a/src/testbed/stand_ins/http_client.cpp
+++ b/src/testbed/stand_ins/http_client.cpp
@@ -8,7 +8,7 @@
 
 HttpClient::~HttpClient() = default;
 
-std::deque<HttpClient::Connection*>& HttpClient::idle_like(const Connection& connection) {
+std::deque<HttpClient::Connection*>& HttpClient::idle_connections_of(const Connection& connection) {
   return idle_[targets_[static_cast<std::size_t>(connection.target)].group];
 }
 
@@ -33,7 +33,7 @@
 
 void HttpClient::open_idle(int group, std::size_t count) {
   for (std::size_t i = 0; i < count; ++i)
-    if (auto* connection = open(group)) idle_like(*connection).push_back(connection);
+    if (auto* connection = open(group)) idle_connections_of(*connection).push_back(connection);
 }
 
 void HttpClient::send(std::uint64_t token, int group, const std::string& message, std::string id,
@@ -56,7 +56,7 @@
   if (connection->connected) flush(*connection);
 }
 
-// Ignores a broken stream, which its events report: no request ends within send().
+// Ignores a broken stream: its next event reports the error, so that no request ends within send().
 void HttpClient::flush(Connection& connection) {
   if (!connection.stream.flush() || !connection.stream.flushed() || connection.written_ms != never) return;
   connection.written_ms = context_.now_ms;
@@ -64,7 +64,7 @@
   set_timer(connection.number, connection.deadline, connection.deadline + connection.write_delay_ms);
 }
 
-void HttpClient::pump(Connection& connection, std::uint32_t events) {
+void HttpClient::handle_events(Connection& connection, std::uint32_t events) {
   if (!connection.stream.open()) return;
   if (!connection.connected) {
     if (!(events & (EPOLLOUT | EPOLLERR | EPOLLHUP))) return;
@@ -78,9 +78,9 @@
 void HttpClient::read_responses(Connection& connection) {
   for (;;) {
     if (connection.stream.bytes().empty()) {
-      auto got = connection.stream.fill();
-      if (got == Stream::ReadResult::nothing) return;
-      if (got != Stream::ReadResult::bytes) return on_stream_end(connection);
+      auto read_result = connection.stream.fill();
+      if (read_result == Stream::ReadResult::nothing) return;
+      if (read_result != Stream::ReadResult::bytes) return on_stream_end(connection);
     }
     if (!connection.busy) {
       if (connection.reused) handler_.on_extra_bytes(connection.token);
@@ -98,19 +98,20 @@
 void HttpClient::on_stream_end(Connection& connection) {
   if (!connection.busy) return close(connection);
   if (connection.written_ms == never) return finish(connection, Outcome::unreachable);
-  bool raced = connection.reused && !connection.response.started();
-  finish(connection, raced ? Outcome::keep_alive_race : Outcome::connection_lost);
+  bool is_keep_alive_race = connection.reused && !connection.response.started();
+  finish(connection, is_keep_alive_race ? Outcome::keep_alive_race : Outcome::connection_lost);
 }
 
-// Classifies a complete response. The body of a 200 begins with its request's id on a line of its own.
+// Classifies a complete response. The first line of a 200's body must be the request's id; any other body
+// counts as corrupted.
 Outcome HttpClient::outcome_of(Connection& connection) {
   int status = connection.response.status();
   if (status == 429 || status == 503) return Outcome::rejected;
   if (status != 200) return Outcome::failed;
   auto body = connection.response.extract_body();
   const auto& id = connection.id;
-  bool produced_for_id = body.starts_with(id) && body.size() > id.size() && body[id.size()] == '\n';
-  return produced_for_id ? Outcome::succeeded : Outcome::corrupted;
+  bool answers_request = body.starts_with(id) && body.size() > id.size() && body[id.size()] == '\n';
+  return answers_request ? Outcome::succeeded : Outcome::corrupted;
 }
 
 void HttpClient::finish(Connection& connection, Outcome outcome) {
@@ -132,15 +133,15 @@
       std::from_chars(text.data(), text.data() + text.size(), retry_after_s);
     result.retry_after_ms = retry_after_s * 1000;
   }
-  bool keep = complete && !options_.connection_per_request && connection.response.keep_alive() &&
-              connection.stream.flushed();
+  bool is_reusable = complete && !options_.connection_per_request && connection.response.keep_alive() &&
+                     connection.stream.flushed();
   connection.response.reset();
   connection.busy = false;
   connection.reused = true;
   set_timer(connection.number, connection.deadline, transport::DueTimes::none);
   auto token = connection.token;
-  if (keep)
-    idle_like(connection).push_back(&connection);
+  if (is_reusable)
+    idle_connections_of(connection).push_back(&connection);
   else
     close(connection);
   handler_.on_result(token, result);
@@ -150,14 +151,14 @@
   auto it = connections_.find(connection.number);
   if (it == connections_.end()) return;
   set_timer(connection.number, connection.deadline, transport::DueTimes::none);
-  if (!connection.busy) std::erase(idle_like(connection), &connection);
+  if (!connection.busy) std::erase(idle_connections_of(connection), &connection);
   connection.stream.close();
   closed_.push_back(std::move(it->second));
   schedule_cleanup();
   connections_.erase(it);
 }
 
-// A request's deadline has expired.
+// Handles an expired request deadline. `number`: of the connection.
 void HttpClient::on_timer(std::uint64_t number) {
   auto it = connections_.find(number);
   if (it == connections_.end()) return;
--- a/src/testbed/stand_ins/http_server.cpp
+++ b/src/testbed/stand_ins/http_server.cpp
@@ -48,13 +48,13 @@
     set_timer(connection.id, connection.idle_timer, context_.now_ms + idle_timeout_ms_);
 }
 
-void HttpServer::pump(Connection& connection) {
+void HttpServer::handle_events(Connection& connection) {
   if (!connection.stream.open()) return;
   if (!connection.stream.flush()) return close(connection, false);
   if (connection.closing && connection.stream.flushed() && !connection.handling)
     return close(connection, false);
   for (;;) {
-    if (connection.handling) return watch_for_close(connection);
+    if (connection.handling) return detect_disconnect(connection);
     if (!read_request(connection)) return;
     if (!connection.request.complete()) continue;
     connection.handling = true;
@@ -64,24 +64,25 @@
   }
 }
 
-// While a request is handled, further bytes stay buffered, but a disconnect is reported at once.
-void HttpServer::watch_for_close(Connection& connection) {
+// While a request is handled, further bytes stay buffered; a disconnect is reported at once.
+void HttpServer::detect_disconnect(Connection& connection) {
   if (!connection.stream.bytes().empty()) return;
-  auto got = connection.stream.fill();
-  if (got != Stream::ReadResult::nothing && got != Stream::ReadResult::bytes) close(connection, false);
+  auto read_result = connection.stream.fill();
+  if (read_result != Stream::ReadResult::nothing && read_result != Stream::ReadResult::bytes)
+    close(connection, false);
 }
 
 bool HttpServer::read_request(Connection& connection) {
   if (connection.stream.bytes().empty()) {
-    auto got = connection.stream.fill();
-    if (got == Stream::ReadResult::nothing) return false;
-    if (got != Stream::ReadResult::bytes) {
+    auto read_result = connection.stream.fill();
+    if (read_result == Stream::ReadResult::nothing) return false;
+    if (read_result != Stream::ReadResult::bytes) {
       close(connection, false);
       return false;
     }
   }
-  if (!connection.request_begun) {
-    connection.request_begun = true;
+  if (!connection.request_started) {
+    connection.request_started = true;
     set_timer(connection.id, connection.idle_timer, transport::DueTimes::none);
     handler_.on_first_byte(connection.id, connection.listener);
   }
@@ -98,16 +99,16 @@
   auto it = connections_.find(id);
   if (it == connections_.end()) return;
   auto& connection = *it->second;
-  bool without_body = connection.request.method() == "HEAD";
+  bool omits_body = connection.request.method() == "HEAD";
   connection.closing = !connection.request.keep_alive();
   bool written = protocol::write_local_response(connection.stream.out(), status, headers, body,
-                                                connection.closing, without_body);
+                                                connection.closing, omits_body);
   connection.request.reset();
-  connection.handling = connection.request_begun = false;
+  connection.handling = connection.request_started = false;
   if (!written || !connection.stream.flush()) return close(connection, false);
   if (connection.closing && connection.stream.flushed()) return close(connection, false);
   start_idle_timer(connection);
-  connection.stream.again(EPOLLIN);  // handles bytes received meanwhile
+  connection.stream.again(EPOLLIN);  // handles bytes that arrived during the request
 }
 
 bool HttpServer::write(ConnectionId id, std::string_view bytes) {
@@ -121,7 +122,7 @@
   return false;
 }
 
-// A connection has reached its idle timeout.
+// Closes a connection that has reached its idle timeout. `number`: its id.
 void HttpServer::on_timer(std::uint64_t number) {
   auto it = connections_.find(number);
   if (it != connections_.end()) close(*it->second, false);
@@ -132,12 +133,12 @@
   if (it == connections_.end()) return;
   set_timer(connection.id, connection.idle_timer, transport::DueTimes::none);
   reset ? connection.stream.reset() : connection.stream.close();
-  bool interrupted = connection.request_begun;
+  bool was_interrupted = connection.request_started;
   auto id = connection.id;
   closed_.push_back(std::move(it->second));
   schedule_cleanup();
   connections_.erase(it);
-  if (interrupted) handler_.on_disconnect(id);
+  if (was_interrupted) handler_.on_disconnect(id);
 }
 
 void HttpServer::cleanup() {
--- a/src/testbed/stand_ins/http_server.hpp
+++ b/src/testbed/stand_ins/http_server.hpp
@@ -15,19 +15,21 @@
 
 namespace meadowgauge::testbed {
 
-// The number of a connection, unique within its server.
+// Identifies a connection within its server; ids are not reused.
 using ConnectionId = std::uint64_t;
 
 class HttpServer final : public TestbedContext::Component {
  public:
   class Handler {
    public:
-    // The first byte of a request was received.
+    // Called at the first byte of a request.
     virtual void on_first_byte(ConnectionId, int /*listener*/) {}
-    // A request is complete and valid until respond(). `first`: the first request of the connection.
+    // Called for a complete request, which is valid until respond(). `first`: whether the request is the
+    // first of its connection.
     virtual void on_request(ConnectionId connection, int listener, const protocol::Message& request,
                             bool first) = 0;
-    // The connection ended, or was not HTTP, between a request's first byte and its response.
+    // Called if the connection ends, or an invalid request closes it, between a request's first byte and its
+    // response.
     virtual void on_disconnect(ConnectionId) {}
 
    protected:
@@ -40,17 +42,18 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Returns the listener's number, from 0. Throws std::system_error if it cannot listen.
+  // Opens a listener and returns its number, from 0. Throws std::system_error if it cannot listen.
   int listen(const transport::Address& at);
   [[nodiscard]] transport::Address address(int listener) const;
-  // Closes the listeners and resets all connections, including those not accepted yet.
+  // Closes the listeners and resets all connections, including those that are not accepted yet.
   void close_all();
 
-  // Responds to the request of that connection, if it is still open. `headers`: complete lines.
+  // Responds to the current request of that connection; does nothing if the connection is closed. `headers`:
+  // complete lines.
   void respond(ConnectionId id, int status, std::string_view headers, std::string_view body);
-  // Writes raw bytes; the request stays open. Returns false if the connection has ended.
+  // Writes raw bytes of a response without ending the request. Returns false if the connection is closed.
   bool write(ConnectionId id, std::string_view bytes);
-  // Sets the idle timeout of connections; 0: none.
+  // Sets the idle timeout of connections in ms; 0: none.
   void set_idle_timeout(double ms) { idle_timeout_ms_ = ms; }
 
   void on_timer(std::uint64_t number) override;
@@ -72,30 +75,30 @@
           listener(listener_number),
           stream(owner.context_.loop, owner.context_.pool, std::move(fd), *this),
           request(owner.context_.pool, protocol::Message::Kind::request) {}
-    void ready(std::uint32_t) override { server.pump(*this); }
+    void ready(std::uint32_t) override { server.handle_events(*this); }
     HttpServer& server;
     ConnectionId id;
     int listener;
     transport::Stream stream;
     protocol::Message request;
-    bool request_begun = false;  // the first byte was received
-    bool handling = false;       // the request is complete and has no response yet
-    bool first = true;           // no request has been complete yet
-    bool closing = false;        // closes after the output is written
+    bool request_started = false;  // the first byte was received
+    bool handling = false;         // the request is complete and not answered yet
+    bool first = true;             // no complete request so far
+    bool closing = false;          // close once the output is written
     double idle_timer = transport::DueTimes::none;
   };
   void accept(Listener& listener);
-  void pump(Connection& connection);
-  // Reads the next bytes of a request. Returns false if there are none or the connection has ended.
+  void handle_events(Connection& connection);
+  // Reads the next bytes of a request. Returns false if there are none or the connection is closed.
   bool read_request(Connection& connection);
-  void watch_for_close(Connection& connection);
+  void detect_disconnect(Connection& connection);
   void close(Connection& connection, bool reset);
   void start_idle_timer(Connection& connection);
 
   Handler& handler_;
   std::vector<std::unique_ptr<Listener>> listeners_, closed_listeners_;
   std::unordered_map<ConnectionId, std::unique_ptr<Connection>> connections_;
-  std::vector<std::unique_ptr<Connection>> closed_;  // until the end of the turn
+  std::vector<std::unique_ptr<Connection>> closed_;  // kept until the end of the turn
   ConnectionId next_id_ = 1;
   double idle_timeout_ms_ = 0;
 };
--- a/src/testbed/stand_ins/server.cpp
+++ b/src/testbed/stand_ins/server.cpp
@@ -27,7 +27,7 @@
   for (const auto& address : listen_at) http_.listen(address);
   started_at_ms_ = context_.now_ms;
   ++incarnation_;
-  auto seed = mixed(config_.seed, "server", static_cast<std::uint64_t>(incarnation_));
+  auto seed = derive_seed(config_.seed, "server", static_cast<std::uint64_t>(incarnation_));
   model_ = std::make_unique<ServerModel>(spec_, seed, started_at_ms_, slow_start);
   arm();
 }
@@ -77,7 +77,7 @@
   auto key = message.find(names::idempotency_key);
   auto cache =
       key.empty() ? nullptr : environment_.deduplication_cache(*request_class, config_.tier, config_.server);
-  auto admission = model_->arrive(receptions_[connection].job, work_of(request, first), key,
+  auto admission = model_->arrive(receptions_[connection].job, work_ms_of(request, first), key,
                                   request_class->deduplication_window_ms, context_.now_ms, cache.get());
   on_admission(request, admission);
 }
@@ -108,12 +108,12 @@
                                      .calls_left = request_class.downstream_calls};
 }
 
-// Derives the work from the request id alone, so that two builds get the same work whichever server they
-// choose. The id's part after the last dot is the attempt's number and doesn't count.
-double Server::work_of(const Request& request, bool first) const {
+// Derives the work from the request id alone, so that all compared builds get the same work, whichever server
+// they choose. The part of the id after the last dot is the attempt number, which is ignored.
+double Server::work_ms_of(const Request& request, bool first) const {
   auto request_id = std::string_view(request.id).substr(0, request.id.rfind('.'));
   const auto& spec = *request.request_class;
-  double work_ms = spec.work_ms * spread_of(mixed(0, request_id), spec.spread);
+  double work_ms = spec.work_ms * log_normal_factor(derive_seed(0, request_id), spec.spread);
   return first ? work_ms + spec_.connection_setup_ms : work_ms;
 }
 
@@ -155,7 +155,7 @@
   record.started_ms = context_.now_ms;
 }
 
-// Stops for the rest of the run: all connections are reset and the listeners closed.
+// Stops the server for the rest of the run: resets all connections and closes the listeners.
 void Server::crash() {
   environment_.on_server_crashed(config_.tier, config_.server);
   stop();
@@ -208,7 +208,7 @@
   } else if (request.black_holed) {
     requests_.erase(it);
   } else {
-    request.disconnected = true;  // a started job runs to its end without a response
+    request.disconnected = true;  // a started job runs on, without a response at its end
   }
 }
 
@@ -227,7 +227,7 @@
   arm();
 }
 
-// The server's own work is done: makes the downstream calls, then responds.
+// Handles a job whose own work is done: makes its downstream calls one after another, then responds.
 void Server::on_work_done(JobId job) {
   auto it = requests_.find(job);
   if (it == requests_.end()) return;
--- a/tests/testbed/experiment_test.cpp
+++ b/tests/testbed/experiment_test.cpp
@@ -1,4 +1,4 @@
-// Experiment files, their schedule of actions, and the lifecycle of a balancer process.
+// Tests of experiment files, the schedule of their faults' actions, and the lifecycle of a balancer process.
 #include "testbed/experiment.hpp"
 
 #include <gtest/gtest.h>
@@ -14,9 +14,9 @@
 namespace {
 
 TEST(Schedule, RollingRestartDrainsStopsAndRestartsInBatches) {
-  Experiment e;
-  e.tiers.resize(1);
-  e.tiers[0].servers = 4;
+  Experiment experiment;
+  experiment.tiers.resize(1);
+  experiment.tiers[0].servers = 4;
   FaultSpec fault;
   fault.kind = FaultSpec::Kind::rolling_restart;
   fault.at_ms = 1000;
@@ -24,10 +24,10 @@
   fault.at_once = 2;
   fault.drain_ms = 500;
   fault.down_ms = 100;
-  e.faults = {fault};
+  experiment.faults = {fault};
   using Kind = Action::Kind;
   std::vector<std::pair<double, Kind>> of_third;
-  for (const auto& action : schedule_actions(e, 1))
+  for (const auto& action : schedule_actions(experiment, 1))
     if (action.target_index == 2) of_third.emplace_back(action.at_ms, action.kind);
   EXPECT_EQ(of_third, (std::vector<std::pair<double, Kind>>{{3000, Kind::announce_draining},
                                                             {3500, Kind::drain},
@@ -38,17 +38,17 @@
 }
 
 TEST(Schedule, EachFaultThatBeginsEnds) {
-  Experiment e;
-  e.tiers.resize(1);
+  Experiment experiment;
+  experiment.tiers.resize(1);
   for (auto kind :
        {FaultSpec::Kind::slow, FaultSpec::Kind::fail, FaultSpec::Kind::silent, FaultSpec::Kind::discovery}) {
     FaultSpec f;
     f.kind = kind;
     f.at_ms = 100;
     f.for_ms = 50;
-    e.faults.push_back(f);
+    experiment.faults.push_back(f);
   }
-  auto all = schedule_actions(e, 1);
+  auto all = schedule_actions(experiment, 1);
   ASSERT_EQ(all.size(), 8U);
   for (std::size_t i = 0; i < 4; ++i) {
     EXPECT_GT(all[i].value, 0);
@@ -69,7 +69,7 @@
   EXPECT_FALSE(killed.take_restart(1299));
   EXPECT_TRUE(killed.take_restart(1300));
   EXPECT_FALSE(killed.take_restart(1400));
-  EXPECT_EQ(killed.exited(0, 0, 0, 1500).cause, Cause::crashed);  // an unrequested exit
+  EXPECT_EQ(killed.exited(0, 0, 0, 1500).cause, Cause::crashed);  // an exit that no action requested
   EXPECT_FALSE(killed.take_restart(9999));
 
   BalancerLifecycle planned;
@@ -111,12 +111,12 @@
 
 TEST(ExperimentFile, FaultsHitTheSameTargetsForASeed) {
   std::vector<settings::Problem> problems;
-  auto e = Experiment::read(
+  auto experiment = Experiment::read(
       settings::read_text(minimal + "[[faults]]\nwhat = 'slow'\nat = 1\nsome = 0.34\n", "x"), "x", problems);
-  e.tiers[0].servers = 30;
-  EXPECT_EQ(e.targets_of(0, 5).size(), 10U);
-  EXPECT_EQ(e.targets_of(0, 5), e.targets_of(0, 5));
-  EXPECT_NE(e.targets_of(0, 5), e.targets_of(0, 6));
+  experiment.tiers[0].servers = 30;
+  EXPECT_EQ(experiment.targets_of(0, 5).size(), 10U);
+  EXPECT_EQ(experiment.targets_of(0, 5), experiment.targets_of(0, 5));
+  EXPECT_NE(experiment.targets_of(0, 5), experiment.targets_of(0, 6));
 }
 
 }  // namespace
--- a/tests/testbed/fixtures.hpp
+++ b/tests/testbed/fixtures.hpp
@@ -1,4 +1,5 @@
-// Shared by the testbed's tests: request classes, experiments and faults from text, temporary run folders.
+// Shared by the tests of the testbed: request classes, experiments and faults parsed from text, temporary
+// folders.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,7 +15,7 @@
 
 namespace meadowgauge::testbed {
 
-// A safe, a non-idempotent and a deduplicated class, in this order.
+// Returns a safe, a non-idempotent and a deduplicated class, in this order.
 inline std::vector<RequestClassSpec> request_classes() {
   RequestClassSpec view, pay, put;
   view.name = "view";
@@ -28,7 +29,7 @@
 }
 
 // Parses a fault; the test fails if the text is invalid.
-inline FaultInjection parsed(const std::string& text) {
+inline FaultInjection parse_fault(const std::string& text) {
   auto result = FaultInjection::parse(text);
   if (auto* injection = std::get_if<FaultInjection>(&result)) return *injection;
   ADD_FAILURE() << text << ": " << std::get<FaultInjectionError>(result).text();
@@ -36,11 +37,11 @@
 }
 
 // Parses an experiment; the test fails if the text has problems.
-inline Experiment experiment(const std::string& text) {
+inline Experiment parse_experiment(const std::string& text) {
   std::vector<settings::Problem> problems;
-  auto e = Experiment::read(settings::read_text(text, "test"), "test", problems);
+  auto experiment = Experiment::read(settings::read_text(text, "test"), "test", problems);
   for (const auto& problem : problems) ADD_FAILURE() << settings::format_problem("test", problem);
-  return e;
+  return experiment;
 }
 
 // A temporary folder for one run, removed with its contents.
--- a/tests/testbed/http_client_test.cpp
+++ b/tests/testbed/http_client_test.cpp
@@ -1,4 +1,5 @@
-// The clients' stand-in whose own thread is held: what it reads, and what its record shows of the delay.
+// Tests of the stand-ins' HTTP client while its thread is paused, as on a busy machine: which responses it
+// still reads, and how its results show the delay.
 #include "testbed/stand_ins/http_client.hpp"
 
 #include <gtest/gtest.h>
@@ -15,9 +16,9 @@
 namespace meadowgauge::testbed {
 namespace {
 
-void hold(double ms) { std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(ms)); }
+void pause_thread(double ms) { std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(ms)); }
 
-// A client and a server on loops of their own, which the test runs in turn.
+// A client and a server with an event loop each, which the test runs in turn.
 struct ClientFixture final : HttpServer::Handler, HttpClient::Handler {
   transport::Clock clock;
   TestbedContext client_context{clock}, server_context{clock};
@@ -54,75 +55,77 @@
   }
 };
 
-// Guards against a response that is there in time and counts as none, because the client's thread was held
-// between the end of its wait and its clock reading.
-TEST(HttpClient, ReadsBeforeItTimesOutAfterAHold) {
-  ClientFixture f;
-  f.send(100);
-  f.run_until_received();
-  f.client_context.run_once(1);  // handles what is left of the connection's begin
-  f.client_context.wait(0);      // finds nothing
-  f.respond();
-  ASSERT_LT(f.clock.now(), f.deadline_ms);
-  hold(150);
-  f.client_context.handle_turn();
-  ASSERT_EQ(f.results.size(), 1U);
-  EXPECT_EQ(f.results[0].outcome, Outcome::succeeded);
-  EXPECT_LT(f.results[0].arrived_ms, f.deadline_ms);
-  EXPECT_GE(f.results[0].ended_ms, f.deadline_ms);
+// Guards against a timeout although the response arrived in time: the client's thread was paused between the
+// end of its wait and its clock reading.
+TEST(HttpClient, ReadsResponseBeforeTimeoutAfterAPause) {
+  ClientFixture fixture;
+  fixture.send(100);
+  fixture.run_until_received();
+  fixture.client_context.run_once(1);  // handles the remaining events of the new connection
+  fixture.client_context.wait(0);      // finds nothing
+  fixture.respond();
+  ASSERT_LT(fixture.clock.now(), fixture.deadline_ms);
+  pause_thread(150);
+  fixture.client_context.handle_turn();
+  ASSERT_EQ(fixture.results.size(), 1U);
+  EXPECT_EQ(fixture.results[0].outcome, Outcome::succeeded);
+  EXPECT_LT(fixture.results[0].arrived_ms, fixture.deadline_ms);
+  EXPECT_GE(fixture.results[0].ended_ms, fixture.deadline_ms);
 }
 
-// Guards against an excuse without evidence: without a response the request times out, held or not.
-TEST(HttpClient, NoResponseTimesOutThoughTheThreadWasHeld) {
-  ClientFixture f;
-  f.send(50);
-  f.run_until_received();
-  f.client_context.wait(0);
-  hold(100);
-  f.client_context.handle_turn();
-  ASSERT_EQ(f.results.size(), 1U);
-  EXPECT_EQ(f.results[0].outcome, Outcome::timed_out);
+// Guards against a pause that hides a missing response: the request times out even if the thread was paused.
+TEST(HttpClient, TimesOutWithoutResponseAfterAPause) {
+  ClientFixture fixture;
+  fixture.send(50);
+  fixture.run_until_received();
+  fixture.client_context.wait(0);
+  pause_thread(100);
+  fixture.client_context.handle_turn();
+  ASSERT_EQ(fixture.results.size(), 1U);
+  EXPECT_EQ(fixture.results[0].outcome, Outcome::timed_out);
 }
 
-// Guards against a delay of the client that its record can't tell from one of the server.
-TEST(HttpClient, RecordsWhenTheResponseArrivedAndHowLateItWasRead) {
-  ClientFixture f;
-  f.send(5000);
-  f.run_until_received();
-  double responded_ms = f.clock.now();
-  f.respond();
-  double written_ms = f.clock.now();
-  hold(80);
-  f.run_until_result();
-  EXPECT_GE(f.results[0].arrived_ms, responded_ms - 1);
-  EXPECT_LE(f.results[0].arrived_ms, written_ms + 1);
-  EXPECT_GE(f.results[0].ended_ms - f.results[0].arrived_ms, 75);
-  EXPECT_GE(f.results[0].turn_gap_ms, f.results[0].ended_ms - f.results[0].arrived_ms);
+// Guards against results in which a delay of the client looks like a delay of the server.
+TEST(HttpClient, RecordsArrivalTimeAndDelayOfReading) {
+  ClientFixture fixture;
+  fixture.send(5000);
+  fixture.run_until_received();
+  double responded_ms = fixture.clock.now();
+  fixture.respond();
+  double written_ms = fixture.clock.now();
+  pause_thread(80);
+  fixture.run_until_result();
+  EXPECT_GE(fixture.results[0].arrived_ms, responded_ms - 1);
+  EXPECT_LE(fixture.results[0].arrived_ms, written_ms + 1);
+  EXPECT_GE(fixture.results[0].ended_ms - fixture.results[0].arrived_ms, 75);
+  EXPECT_GE(fixture.results[0].turn_gap_ms, fixture.results[0].ended_ms - fixture.results[0].arrived_ms);
 }
 
-// Guards against a time budget that the server counts from a later moment than the client's deadline: a
-// client that writes its request late waits longer by as much.
+// Guards against a client that times out before the server's time budget ends. The server counts the budget
+// from the arrival of the request, so that a client that writes its request late must wait longer by that
+// delay.
 TEST(HttpClient, WaitsLongerByItsOwnDelayInWriting) {
-  ClientFixture f;
-  f.send(100);
-  hold(60);  // the connection is up, and the client doesn't write
-  f.run_until_received();
-  while (f.clock.now() < f.deadline_ms + 10) f.client_context.run_once(1);
-  EXPECT_TRUE(f.results.empty());
-  f.run_until_result();
-  EXPECT_EQ(f.results[0].outcome, Outcome::timed_out);
-  EXPECT_GE(f.results[0].write_delay_ms, 60);
-  EXPECT_GE(f.results[0].ended_ms, f.deadline_ms + 60);
+  ClientFixture fixture;
+  fixture.send(100);
+  pause_thread(60);  // the connection is established, and the client does not write
+  fixture.run_until_received();
+  while (fixture.clock.now() < fixture.deadline_ms + 10) fixture.client_context.run_once(1);
+  EXPECT_TRUE(fixture.results.empty());
+  fixture.run_until_result();
+  EXPECT_EQ(fixture.results[0].outcome, Outcome::timed_out);
+  EXPECT_GE(fixture.results[0].write_delay_ms, 60);
+  EXPECT_GE(fixture.results[0].ended_ms, fixture.deadline_ms + 60);
 }
 
-// Guards against a loop that adds a hold within a turn to its next wait, so that later timers expire late.
-TEST(TestbedContext, HoldWithinATurnDoesNotDelayLaterTimers) {
-  struct Holder final : TestbedContext::Component {
+// Guards against an event loop that adds a pause within a turn to its next wait, so that later timers expire
+// late.
+TEST(TestbedContext, PauseWithinATurnDoesNotDelayLaterTimers) {
+  struct PausingComponent final : TestbedContext::Component {
     using Component::Component;
     void set(std::uint64_t number, double at_ms) { set_timer(number, due[number], at_ms); }
     void on_timer(std::uint64_t number) override {
       set(number, transport::DueTimes::none);
-      if (number == 0) hold(60);
+      if (number == 0) pause_thread(60);
       if (number == 1) expired_ms = context_.now_ms;
     }
     double due[2] = {transport::DueTimes::none, transport::DueTimes::none};
@@ -131,14 +134,14 @@
   transport::Clock clock;
   TestbedContext context(clock);
   double best_delay_ms = transport::DueTimes::none;
-  for (int i = 0; i < 3; ++i) {  // the best of three: the machine may hold the test as well
-    Holder holder(context);
+  for (int round = 0; round < 3; ++round) {  // the best of three: the machine may pause the test as well
+    PausingComponent component(context);
     context.now_ms = clock.now();
     double due_ms = context.now_ms + 100;
-    holder.set(0, context.now_ms);
-    holder.set(1, due_ms);
-    while (holder.expired_ms == 0) context.run_once(1000);
-    best_delay_ms = std::min(best_delay_ms, holder.expired_ms - due_ms);
+    component.set(0, context.now_ms);
+    component.set(1, due_ms);
+    while (component.expired_ms == 0) context.run_once(1000);
+    best_delay_ms = std::min(best_delay_ms, component.expired_ms - due_ms);
   }
   EXPECT_LT(best_delay_ms, 30);
 }
--- a/tests/testbed/relay_test.cpp
+++ b/tests/testbed/relay_test.cpp
@@ -1,4 +1,4 @@
-// The relay on sockets: each fault's outcome for a client, and the `fault` command.
+// Tests of the relay on sockets: the outcome of each fault for a client, and the `fault` command.
 #include "testbed/stand_ins/relay.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
   transport::Clock clock;
   TestbedContext context{clock};
   std::vector<ServerRecord> records;
-  RequestClassSpec pay;
+  RequestClassSpec request_class_spec;
   Server server;
   InjectionPlan plan;
   std::unique_ptr<Relay> relay;
@@ -38,11 +38,11 @@
 
   explicit RelayFixture(const std::string& fault, std::uint64_t seed = 1)
       : server(context, *this, {.load_report_columns = {}}, {.cores = 8}, records), plan({}, seed) {
-    pay.name = "pay";
-    pay.idempotency = Idempotency::non_idempotent;
-    pay.work_ms = 1;
-    pay.spread = 0;
-    plan.add(parsed(fault));
+    request_class_spec.name = "pay";
+    request_class_spec.idempotency = Idempotency::non_idempotent;
+    request_class_spec.work_ms = 1;
+    request_class_spec.spread = 0;
+    plan.add(parse_fault(fault));
     auto any_port = *transport::Address::parse("127.0.0.1:0");
     server.start({any_port}, false);
     relay = std::make_unique<Relay>(context, any_port, server.address(0), plan, context.now_ms);
@@ -53,7 +53,7 @@
                                           HttpClient::Options{});
   }
   const RequestClassSpec* request_class(std::string_view name) override {
-    return name == "pay" ? &pay : nullptr;
+    return name == "pay" ? &request_class_spec : nullptr;
   }
   std::shared_ptr<DeduplicationCache> deduplication_cache(const RequestClassSpec&, int, int) override {
     return {};
@@ -63,7 +63,7 @@
   void on_result(std::uint64_t, const HttpClient::Result& result) override { results.push_back(result); }
   int pick_target(int) override { return 0; }
 
-  // Sends one request and runs until its result.
+  // Sends one request and runs the event loop until its result.
   HttpClient::Result send(const std::string& id, double timeout_ms = 5000) {
     auto token = results.size();
     std::string message =
@@ -75,29 +75,30 @@
 };
 
 TEST(Relay, PassesAllInBothDirectionsAndKeepsConnections) {
-  RelayFixture f("cut at=end after=1000");
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(f.send("v" + std::to_string(i)).outcome, Outcome::succeeded);
-  EXPECT_EQ(f.relay->connections(), 1U);
+  RelayFixture fixture("cut at=end after=1000");
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(fixture.send("v" + std::to_string(i)).outcome, Outcome::succeeded);
+  EXPECT_EQ(fixture.relay->connections(), 1U);
 }
 
 TEST(Relay, ClosesBetweenRequestAndResponse) {
-  RelayFixture f("cut at=end after=2 most=1");
-  EXPECT_EQ(f.send("v1").outcome, Outcome::succeeded);
-  EXPECT_EQ(f.send("v2").outcome, Outcome::succeeded);
-  auto result = f.send("v3");  // on a reused connection
+  RelayFixture fixture("cut at=end after=2 most=1");
+  EXPECT_EQ(fixture.send("v1").outcome, Outcome::succeeded);
+  EXPECT_EQ(fixture.send("v2").outcome, Outcome::succeeded);
+  auto result = fixture.send("v3");  // on a reused connection
   EXPECT_EQ(result.outcome, Outcome::keep_alive_race);
   EXPECT_NE(result.written_ms, never);
-  f.context.run(
-      [&] { return f.records.size() == 3 && f.records[2].result == ServerRecord::Result::executed; });
-  EXPECT_EQ(f.records[2].id, "v3");
-  EXPECT_EQ(f.send("v4").outcome, Outcome::succeeded);  // on a new connection
-  ASSERT_EQ(f.relay->injected().size(), 1U);
-  EXPECT_EQ(f.relay->injected()[0].message, 3U);
+  fixture.context.run([&] {
+    return fixture.records.size() == 3 && fixture.records[2].result == ServerRecord::Result::executed;
+  });
+  EXPECT_EQ(fixture.records[2].id, "v3");
+  EXPECT_EQ(fixture.send("v4").outcome, Outcome::succeeded);  // on a new connection
+  ASSERT_EQ(fixture.relay->injected().size(), 1U);
+  EXPECT_EQ(fixture.relay->injected()[0].message, 3U);
 }
 
 TEST(Relay, EachFaultHasItsOutcomeAtTheSameByte) {
   const std::pair<std::string, Outcome> cases[] = {
-      {"reset at=byte:10", Outcome::unreachable},  // or connection_lost, depending on the kernel's progress
+      {"reset at=byte:10", Outcome::unreachable},  // or connection_lost, depending on the kernel's timing
       {"cut at=body way=client", Outcome::connection_lost},
       {"reset at=header:Content-Length way=client", Outcome::connection_lost},
       {"half at=header:Content-Length way=client", Outcome::connection_lost},
@@ -110,52 +111,53 @@
       {"throttle at=body way=client rate=20000", Outcome::succeeded},
   };
   for (const auto& [text, outcome] : cases) {
-    std::deque<InjectedFault> first;
+    std::deque<InjectedFault> first_injected;
     for (int round = 0; round < 2; ++round) {
-      RelayFixture f(text, 11);
-      auto result = f.send("v1", outcome == Outcome::timed_out ? 100 : 5000);
+      RelayFixture fixture(text, 11);
+      auto result = fixture.send("v1", outcome == Outcome::timed_out ? 100 : 5000);
       bool before_written = outcome == Outcome::unreachable || text.ends_with("connect");
       if (before_written)
         EXPECT_TRUE(result.outcome == Outcome::unreachable || result.outcome == Outcome::connection_lost)
             << text;
       else
         EXPECT_EQ(result.outcome, outcome) << text << " ended as " << static_cast<int>(result.outcome);
-      auto injected = f.relay->injected();
+      auto injected = fixture.relay->injected();
       ASSERT_EQ(injected.size(), 1U) << text;
       if (round == 0)
-        first = injected;
+        first_injected = injected;
       else
-        EXPECT_EQ(injected, first) << text;
+        EXPECT_EQ(injected, first_injected) << text;
     }
   }
 }
 
 TEST(Relay, BlackHoledPairEndsWithBothConnections) {
-  RelayFixture f("silence at=end way=server");
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(f.send("v" + std::to_string(i), 50).outcome, Outcome::timed_out);
-  EXPECT_EQ(f.relay->injection_count(), 5U);
-  f.server.stop();
-  f.context.run([&] { return f.relay->open_connections() == 0; });
+  RelayFixture fixture("silence at=end way=server");
+  for (int i = 0; i < 5; ++i)
+    EXPECT_EQ(fixture.send("v" + std::to_string(i), 50).outcome, Outcome::timed_out);
+  EXPECT_EQ(fixture.relay->injection_count(), 5U);
+  fixture.server.stop();
+  fixture.context.run([&] { return fixture.relay->open_connections() == 0; });
 }
 
 TEST(Relay, CorruptionStaysInItsHeader) {
-  RelayFixture f("garble at=header:X-Call-Id bytes=3 most=1");
-  f.send("visit1");
-  ASSERT_EQ(f.records.size(), 1U);
-  EXPECT_EQ(f.records[0].id.size(), 6U);
-  EXPECT_NE(f.records[0].id, "visit1");
-  EXPECT_EQ(f.records[0].id.substr(3), "it1");
+  RelayFixture fixture("garble at=header:X-Call-Id bytes=3 most=1");
+  fixture.send("visit1");
+  ASSERT_EQ(fixture.records.size(), 1U);
+  EXPECT_EQ(fixture.records[0].id.size(), 6U);
+  EXPECT_NE(fixture.records[0].id, "visit1");
+  EXPECT_EQ(fixture.records[0].id.substr(3), "it1");
 }
 
 TEST(Relay, RefusedConnectionIsAResetAtTheClient) {
-  RelayFixture f("cut at=end after=1000");
-  f.server.stop();
-  auto result = f.send("v1");
+  RelayFixture fixture("cut at=end after=1000");
+  fixture.server.stop();
+  auto result = fixture.send("v1");
   EXPECT_TRUE(result.outcome == Outcome::connection_lost || result.outcome == Outcome::unreachable);
 }
 
-// Passes the lines written by the relay's thread to the test's thread.
-class Output final : public std::streambuf {
+// Passes lines written by the relay's thread to the test's thread.
+class RelayOutput final : public std::streambuf {
  public:
   std::string wait_for_line() {
     std::unique_lock lock(mutex_);
@@ -175,48 +177,51 @@
   std::string text_;
 };
 
-// Returns the address that follows `before`.
-transport::Address address_after(const std::string& text, const std::string& before) {
-  auto at = text.find(before) + before.size();
+// Returns the address that follows `prefix` in the text.
+transport::Address address_after(const std::string& text, const std::string& prefix) {
+  auto at = text.find(prefix) + prefix.size();
   return *transport::Address::parse(text.substr(at, text.find_first_of(" ,\n", at) - at));
 }
 
-// Returns the complete reply to one command.
+// Sends a command and returns the complete reply.
 std::string send_command(int fd, const std::string& command) {
   auto line = command + "\n";
   EXPECT_EQ(send(fd, line.data(), line.size(), MSG_NOSIGNAL), static_cast<ssize_t>(line.size()));
-  std::string answer;
+  std::string reply;
   char c = 0;
-  while (!answer.ends_with("ok\n") && !(answer.ends_with("\n") && answer.starts_with("no: ")) &&
+  while (!reply.ends_with("ok\n") && !(reply.ends_with("\n") && reply.starts_with("no: ")) &&
          recv(fd, &c, 1, 0) == 1)
-    answer += c;
-  return answer;
+    reply += c;
+  return reply;
 }
 
-// Runs `fault` alone and commands it over its local socket.
+// Runs the `fault` command and controls it over its command socket.
 TEST(FaultCommand, TakesCommandsWhileItRuns) {
-  RelayFixture f("cut at=end after=1000");  // only the server of the fixture is used
-  Output output;
+  RelayFixture fixture("cut at=end after=1000");  // only the server of the fixture is used
+  RelayOutput output;
   std::ostream out(&output);
   std::atomic<bool> stop{false};
-  FaultRelayOptions options{
-      .listen = "127.0.0.1:0", .to = f.server.address(0).text(), .control = "127.0.0.1:0", .injections = {}};
-  std::jthread running([&] { run_fault_relay(options, out, stop); });
+  FaultRelayOptions options{.listen = "127.0.0.1:0",
+                            .to = fixture.server.address(0).text(),
+                            .control = "127.0.0.1:0",
+                            .injections = {}};
+  std::jthread relay_thread([&] { run_fault_relay(options, out, stop); });
   auto first_line = output.wait_for_line();
   auto control = address_after(first_line, "commands at ");
-  f.connect_to(address_after(first_line, "relays "));
+  fixture.connect_to(address_after(first_line, "relays "));
   transport::Fd fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   ASSERT_EQ(connect(fd.get(), control.raw(), control.size()), 0);
   auto command = [&](const std::string& text) { return send_command(fd.get(), text); };
-  EXPECT_EQ(f.send("v1").outcome, Outcome::succeeded);
+  EXPECT_EQ(fixture.send("v1").outcome, Outcome::succeeded);
   EXPECT_EQ(command("inject cut at=end after=1 most=1"), "ok\n");
-  EXPECT_EQ(f.send("v2").outcome, Outcome::keep_alive_race);
-  EXPECT_EQ(f.send("v3").outcome, Outcome::succeeded);
+  EXPECT_EQ(fixture.send("v2").outcome, Outcome::keep_alive_race);
+  EXPECT_EQ(fixture.send("v3").outcome, Outcome::succeeded);
   auto injected = command("status");
   EXPECT_NE(injected.find("message 2: cut at=end"), std::string::npos) << injected;
-  EXPECT_EQ(command("strike reset at=byte:0"), "ok\n");  // the previous release's name of inject
+  EXPECT_EQ(command("strike reset at=byte:0"),
+            "ok\n");  // deprecated name of inject, from the previous release
   EXPECT_EQ(command("clear"), "ok\n");
-  EXPECT_EQ(f.send("v4").outcome, Outcome::succeeded);
+  EXPECT_EQ(fixture.send("v4").outcome, Outcome::succeeded);
   auto status = command("status");
   EXPECT_NE(status.find("connections 2"), std::string::npos) << status;
   EXPECT_NE(status.find("message 2: cleared since"), std::string::npos) << status;
