--- a/tests/e2e/attempt_deadline_test.cpp
+++ b/tests/e2e/attempt_deadline_test.cpp
@@ -1,6 +1,6 @@
-// Attempts whose deadline passes in the turn of the event loop in which they would succeed (the program is
-// paused meanwhile), and responses that never end. Each test is a row of docs/design/endings.md; the test
-// plays the client and the upstream over loopback.
+// Attempts whose deadline passes in the turn of the event loop in which they would succeed (the test pauses
+// the program to force this), and responses that never end. Each test is a row of docs/design/endings.md. The
+// test acts as the client and the upstream over loopback.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -15,7 +15,8 @@
 namespace meadowgauge::test {
 namespace {
 
-// A response received by the deadline counts, and the client gets exactly one.
+// Guards against dropping a response that arrived before the deadline, and against sending a second one: the
+// program reads the response and handles the deadline in the same turn.
 TEST(AttemptDeadline, UsesAResponseThatArrivedInTheSameTurn) {
   ProxyProcess proxy(one_upstream(true));
   auto client = proxy.connect();
@@ -33,28 +34,29 @@
   expect_next_request(upstream, request, client);
 }
 
-// A request is not sent after its deadline.
+// Guards against sending a request after its deadline, when its connection is established in the same turn.
 TEST(AttemptDeadline, SendsNothingOverAConnectionEstablishedTooLate) {
-  UnresponsiveHost back;
+  UnresponsiveHost unresponsive_host;
   ProxyProcess proxy(one_upstream(true),
-                     endpoint_list(1, true, {endpoint_entry(0, back.listener.address())}));
+                     endpoint_list(1, true, {endpoint_entry(0, unresponsive_host.listener.address())}));
   auto client = proxy.connect();
   auto start = Clock::now();
   client.send(http_request("/pay", 700));
-  // Read before the first response, and acted upon before the second.
+  // The program reads the request before the first response and dials before the second.
   for (int i = 0; i < 2; ++i) EXPECT_EQ(proxy.get_status("/-/ready"), 200);
   proxy.pause();
-  auto first = back.listener.accept();
-  auto upstream = back.listener.accept();  // by the kernel, about a second after the first SYN
+  auto first = unresponsive_host.listener.accept();
+  auto upstream = unresponsive_host.listener.accept();  // the SYN is retried after about 1 s
   sleep_until(start + ms(1200));
   proxy.resume();
-  EXPECT_EQ(status_of(client.receive_message()), 503);  // it never executed
+  EXPECT_EQ(status_of(client.receive_message()), 503);  // the request was not executed
   auto request = http_request("/pay");
   client.send(request);
   expect_next_request(upstream, request, client);
 }
 
-// A response of unknown length is truncated at the client timeout so that its client can tell.
+// Guards against a response of unknown length that holds the connection beyond the client timeout, or ends
+// there as if it were complete.
 TEST(AttemptDeadline, TruncatesAResponseThatNeverEnds) {
   for (bool chunked : {true, false}) {
     ProxyProcess proxy(one_upstream(true));
@@ -65,11 +67,11 @@
     upstream.receive_message();
     upstream.send(chunked ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"
                           : "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc");
-    auto all = client.receive_until_end();
-    EXPECT_FALSE(all.ends_with("0\r\n\r\n")) << all;
+    auto response = client.receive_until_end();
+    EXPECT_FALSE(response.ends_with("0\r\n\r\n")) << response;
     EXPECT_TRUE(upstream.wait_for_end());
     EXPECT_GT(Clock::now() - start, ms(1000));
-    EXPECT_LT(Clock::now() - start, ms(8000));  // it was ten seconds more before
+    EXPECT_LT(Clock::now() - start, ms(8000));  // a former fault held the connection for 10 s more
   }
 }
 
--- a/tests/e2e/body_streaming_test.cpp
+++ b/tests/e2e/body_streaming_test.cpp
@@ -1,5 +1,5 @@
-// Bodies that are too large to be buffered whole: parsed in pieces as values, and passed on both ways by the
-// running program, whose clients and upstreams the test plays over loopback.
+// Bodies that are too large to be buffered as a whole: the parser on pieces of messages, and the running
+// program, which streams bodies both ways. The test acts as its clients and upstreams over loopback.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -32,7 +32,7 @@
   return text;
 }
 
-// The body in chunks of that size, with extensions and a trailer.
+// Encodes the body in chunks of at most `chunk_size` bytes, with chunk extensions and a trailer.
 std::string in_chunks(const std::string& body, std::size_t chunk_size) {
   std::string text;
   char size[32];
@@ -43,45 +43,46 @@
   return text + "0\r\nTrailer: t\r\n\r\n";
 }
 
-// Feeds `text` in pieces to a message, drains it whenever its buffers are full, and returns its body;
-// `largest` receives the maximum of buffered bytes.
+// Feeds `text` to a message in pieces of `piece` bytes, moves the body out whenever the buffers are full, and
+// returns the body. Stores the maximum number of buffered bytes in `max_buffered_bytes` if that is given.
 std::string streamed_body(Message::Kind kind, const std::string& text, std::size_t piece,
-                          std::size_t* largest = nullptr) {
+                          std::size_t* max_buffered_bytes = nullptr) {
   Pool pool(64);
-  Message m(pool, kind, Message::Body::streaming);
+  Message message(pool, kind, Message::Body::streaming);
   Chain drained(pool);
   std::string body, input;
   auto drain = [&] {
-    EXPECT_EQ(m.move_body(drained, false), Message::MoveResult::moved);
+    EXPECT_EQ(message.move_body(drained, false), Message::MoveResult::moved);
     drained.each(0, [&](std::string_view part) { body += part; });
     drained.clear();
   };
   for (std::size_t at = 0; at < text.size(); at += piece) {
     input += text.substr(at, piece);
     while (!input.empty()) {
-      input.erase(0, m.feed(input));
-      if (m.fault() != protocol::Fault::none) return "fault";
-      if (largest) *largest = std::max(*largest, m.body_size());
-      if (m.complete()) break;
-      if (m.buffer_full()) drain();
+      input.erase(0, message.feed(input));
+      if (message.fault() != protocol::Fault::none) return "fault";
+      if (max_buffered_bytes) *max_buffered_bytes = std::max(*max_buffered_bytes, message.body_size());
+      if (message.complete()) break;
+      if (message.buffer_full()) drain();
     }
   }
-  if (m.close_delimited()) m.connection_closed();
-  if (!m.complete()) return "not whole";
-  if (m.body_size() > 0) drain();
+  if (message.close_delimited()) message.connection_closed();
+  if (!message.complete()) return "incomplete";
+  if (message.body_size() > 0) drain();
   return body;
 }
 
+// Guards against a body that depends on how the message is split, and against unbounded buffering.
 TEST(BodyStreaming, GivesTheSameBodyHoweverItIsSplit) {
   auto body = random_text(100000);
   const std::string request_head = "POST /pay HTTP/1.1\r\nHost: b\r\n", ok_head = "HTTP/1.1 200 OK\r\n";
   for (std::size_t piece : {1, 7, 4096, 16384, 1000000}) {
-    std::size_t largest = 0;
-    EXPECT_EQ(
-        streamed_body(Message::Kind::request,
-                      http_message(request_head.substr(0, request_head.size() - 2), body), piece, &largest),
-        body);
-    EXPECT_LE(largest, protocol::max_buffered_body);
+    std::size_t max_buffered_bytes = 0;
+    EXPECT_EQ(streamed_body(Message::Kind::request,
+                            http_message(request_head.substr(0, request_head.size() - 2), body), piece,
+                            &max_buffered_bytes),
+              body);
+    EXPECT_LE(max_buffered_bytes, protocol::max_buffered_body);
     EXPECT_EQ(
         streamed_body(Message::Kind::request,
                       request_head + "Transfer-Encoding: chunked\r\n\r\n" + in_chunks(body, 3000), piece),
@@ -105,9 +106,9 @@
   }
 }
 
-// Random messages in random pieces give the same body or the same rejection.
+// Guards against a parser whose result depends on how the message is split, also for malformed messages.
 TEST(BodyStreaming, RandomMessagesGiveSameResultHoweverSplit) {
-  bool same = rc::check("flowing messages", [] {
+  bool same = rc::check("random messages", [] {
     auto part = rc::gen::element<std::string>(
         "POST / HTTP/1.1\r\n", "HTTP/1.1 200 OK\r\n", "HTTP/1.0 200 OK\r\n", "Host: b\r\n", "\r\n",
         "Connection: close\r\n", "Content-Length: 70000\r\n", "Transfer-Encoding: chunked\r\n", "abc",
@@ -121,16 +122,17 @@
   EXPECT_TRUE(same);
 }
 
+// Guards against a fault or lost bytes when the buffer pool is exhausted within a body.
 TEST(BodyStreaming, WaitsWhenThePoolIsExhausted) {
   Pool pool(3);
-  Message m(pool, Message::Kind::request, Message::Body::streaming);
+  Message message(pool, Message::Kind::request, Message::Body::streaming);
   auto text = http_message("POST /pay HTTP/1.1\r\nHost: b", random_text(100000));
   std::size_t n = 0;
-  for (std::size_t more = 1; more > 0; n += more) more = m.feed(std::string_view(text).substr(n, 4096));
-  EXPECT_EQ(m.fault(), protocol::Fault::none);
-  EXPECT_TRUE(m.out_of_buffers());
+  for (std::size_t more = 1; more > 0; n += more) more = message.feed(std::string_view(text).substr(n, 4096));
+  EXPECT_EQ(message.fault(), protocol::Fault::none);
+  EXPECT_TRUE(message.out_of_buffers());
   Chain out(pool);
-  EXPECT_EQ(m.move_body(out, false), Message::MoveResult::out_of_buffers);
+  EXPECT_EQ(message.move_body(out, false), Message::MoveResult::out_of_buffers);
   EXPECT_LT(n, text.size());
 }
 
@@ -144,6 +146,7 @@
 
 constexpr std::size_t large_body_size = std::size_t{32} * 1024 * 1024;
 
+// Guards against buffering a whole request body when its upstream reads slowly.
 TEST(BodyStreaming, LargeRequestUsesBoundedMemoryAndBlocksNobody) {
   ProxyProcess proxy({.upstreams = 1});
   auto before = resident_bytes(proxy.pid());
@@ -151,7 +154,7 @@
   auto client = proxy.connect();
   std::thread sender([&] { client.send(http_request("/pay", 9000, body)); });
   auto upstream = proxy.upstreams[0].accept();
-  EXPECT_EQ(proxy.get_status("/-/ready"), 200);  // other clients are served while this one does not read
+  EXPECT_EQ(proxy.get_status("/-/ready"), 200);  // other clients are served while this body is not read
   auto received = upstream.receive_message();
   sender.join();
   EXPECT_EQ(received.size() - received.find("\r\n\r\n") - 4, large_body_size);
@@ -161,6 +164,7 @@
   EXPECT_EQ(status_of(client.receive_message()), 200);
 }
 
+// Guards against buffering a whole response body when its client reads slowly.
 TEST(BodyStreaming, LargeResponseUsesBoundedMemoryAndBlocksNobody) {
   ProxyProcess proxy({.upstreams = 1, .admin_server = true});
   auto before = resident_bytes(proxy.pid());
@@ -182,6 +186,8 @@
   EXPECT_EQ(proxy.metric("calls.pay.success"), 2);
 }
 
+// Guards against a truncated response that looks complete to its client, and against a retry after the
+// response has begun.
 TEST(BodyStreaming, BrokenResponseIsDetectablyTruncated) {
   for (std::string how : {"length", "chunks"}) {
     ProxyProcess proxy({.upstreams = 1, .admin_server = true});
@@ -196,27 +202,29 @@
     auto received = client.receive_until_end();
     EXPECT_EQ(status_of(received), 200);
     EXPECT_FALSE(received.ends_with("0\r\n\r\n"));
-    EXPECT_FALSE(proxy.upstreams[0].has_pending_connection()) << "the response has begun: no other attempt";
+    EXPECT_FALSE(proxy.upstreams[0].has_pending_connection()) << "retried though the response had begun";
     EXPECT_EQ(proxy.metric("calls.view.success"), 0);
     EXPECT_EQ(proxy.metric("inflight"), 0);
   }
 }
 
-TEST(BodyStreaming, PassesAResponseOfUnknownLengthAsItComes) {
+// Guards against holding back a response of unknown length until it ends.
+TEST(BodyStreaming, PassesAResponseOfUnknownLengthAsItArrives) {
   ProxyProcess proxy({.upstreams = 1});
   auto client = proxy.connect();
   client.send(http_request("/pay"));
   auto upstream = proxy.upstreams[0].accept();
   upstream.receive_message();
   upstream.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
-  EXPECT_TRUE(client.receive_message().find("chunked") != std::string::npos);  // its head was received
+  EXPECT_TRUE(client.receive_message().find("chunked") != std::string::npos);  // the head was forwarded
   upstream.send("0\r\n\r\n");
   client.send(http_request("/pay"));
   upstream.receive_message();
   upstream.send(ok_response);
 }
 
-// A request whose last byte was not sent has not executed, but its streamed body cannot be sent again.
+// Guards against a retry of a streamed request: the request has not executed, because its last byte was not
+// sent, but the bytes that were already streamed cannot be sent again.
 TEST(BodyStreaming, BrokenRequestIsRejectedAndNotRetried) {
   ProxyProcess proxy({.upstreams = 2});
   auto client = proxy.connect();
@@ -231,25 +239,29 @@
   EXPECT_FALSE(proxy.upstreams[1 - first].has_pending_connection());
 }
 
-// A hedged attempt would carry only the rest of the body.
-TEST(BodyStreaming, HedgesNoRequestWhoseBodyIsStreamed) {
+// Guards against a hedged attempt for a streamed request: it would send only the rest of the body.
+TEST(BodyStreaming, DoesNotHedgeARequestWithAStreamedBody) {
   for (bool large : {false, true}) {
-    PolicyHarness w({}, 4, 3);
-    for (int i = 0; i < 60; ++i) w.end(w.submit(0, 5000), 0, Outcome::succeeded);
-    Request v{
-        .request_class = 0, .arrived_ms = w.now_ms, .deadline_ms = w.now_ms + 5000, .large_body = large};
-    ASSERT_EQ(w.policy.decide(v, w.now_ms).kind, Decision::attempt);
-    EXPECT_EQ(w.policy.attempt_timeout(v, w.now_ms).ask_again_ms == never, large);
-    for (int i = 0; i < 20; ++i) {  // its server stops responding while others respond
-      w.pass(100);
-      for (int n = 0; n < 4; ++n) w.end(w.submit(0, 5000), 0, Outcome::succeeded);
-      w.policy.decide(v, w.now_ms);
+    PolicyHarness harness({}, 4, 3);
+    for (int i = 0; i < 60; ++i) harness.end(harness.submit(0, 5000), 0, Outcome::succeeded);
+    Request tested_request{.request_class = 0,
+                           .arrived_ms = harness.now_ms,
+                           .deadline_ms = harness.now_ms + 5000,
+                           .large_body = large};
+    ASSERT_EQ(harness.policy.decide(tested_request, harness.now_ms).kind, Decision::attempt);
+    EXPECT_EQ(harness.policy.attempt_timeout(tested_request, harness.now_ms).ask_again_ms == never, large);
+    for (int i = 0; i < 20; ++i) {  // the first attempt gets no response while other requests succeed
+      harness.pass(100);
+      for (int n = 0; n < 4; ++n) harness.end(harness.submit(0, 5000), 0, Outcome::succeeded);
+      harness.policy.decide(tested_request, harness.now_ms);
     }
-    EXPECT_EQ(v.attempt_count, large ? 1 : 2);
+    EXPECT_EQ(tested_request.attempt_count, large ? 1 : 2);
   }
 }
 
-TEST(BodyStreaming, CancelsTheAttemptWhenTheClientDisconnectsMidBody) {
+// Guards against an upstream connection that stays open after the client has left within the request body or
+// within the response.
+TEST(BodyStreaming, CancelsTheAttemptWhenClientLeavesMidBody) {
   ProxyProcess proxy({.upstreams = 1, .cancelling = false});
   auto client = proxy.connect();
   auto text = http_request("/pay", 9000, random_text(200000));
@@ -267,6 +279,7 @@
   EXPECT_TRUE(other.wait_for_end());
 }
 
+// Guards against a fixed timeout for bodies: a stalled body is rejected with 408, a slow one is accepted.
 TEST(BodyStreaming, AllowsABodyTimeByItsSize) {
   ProxyProcess proxy({.upstreams = 1});
   auto stalled = proxy.connect();
--- a/tests/e2e/client_connections_test.cpp
+++ b/tests/e2e/client_connections_test.cpp
@@ -1,5 +1,5 @@
-// Client connections of the running program: silent and slow clients, idle ones, more than there are
-// descriptors for. The test plays the clients and one upstream over loopback.
+// Client connections of the running program: silent, slow and idle clients, and more clients than file
+// descriptors. The test acts as the clients and one upstream over loopback.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -15,7 +15,8 @@
 namespace meadowgauge::test {
 namespace {
 
-// A client that sends nothing, or a request byte by byte, gets a status or is closed within 3 s.
+// Guards against connections held by clients that send nothing, an incomplete request or a body over the
+// limit: each gets a status or is closed within 3 s.
 TEST(ClientConnections, ClosesSilentAndSlowClientsSoonAfterConnecting) {
   ProxyProcess proxy({.upstreams = 1});
   auto served = proxy.connect(), slow = proxy.connect(), silent = proxy.connect(), endless = proxy.connect();
@@ -24,7 +25,7 @@
   EXPECT_EQ(status_of(served.receive_message()), 200);
   endless.send("POST /pay HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\nContent-Length: 60000000\r\n\r\n");
   EXPECT_EQ(status_of(endless.receive_message()), 413);
-  endless.send(std::string(4000000, 'x'));  // returns only as what is sent is taken, or the connection ends
+  endless.send(std::string(4000000, 'x'));  // returns once the program has read it or has closed
   EXPECT_TRUE(endless.wait_for_end());
   auto start = Clock::now();
   slow.send("POST /pay HTTP");
@@ -32,11 +33,12 @@
   EXPECT_TRUE(slow.wait_for_end());
   EXPECT_TRUE(silent.wait_for_end());
   EXPECT_LT(Clock::now() - start,
-            std::chrono::milliseconds(10000));  // 3 s, with a margin for a busy machine
-  EXPECT_TRUE(served.quiet());                  // after a whole request a connection may be idle
+            std::chrono::milliseconds(10000));  // 3 s, and a margin for a busy machine
+  EXPECT_TRUE(served.quiet());                  // a connection may be idle after a complete request
 }
 
-// Connections without a whole request are evicted, so that another client need not wait for their timeouts.
+// Guards against a flood of incomplete requests that uses up the connections until their timeouts:
+// connections without a complete request are evicted for other clients.
 TEST(ClientConnections, ServesACompleteRequestUnderAFloodOfPartialOnes) {
   ProxyProcess proxy({.upstreams = 1, .sockets = 48});
   std::vector<TcpConnection> partial;
@@ -51,8 +53,8 @@
   EXPECT_TRUE(partial.back().quiet());
 }
 
-// Among partial requests the one without progress is evicted first, not the oldest.
-TEST(ClientConnections, EvictsStalledClientsBeforeASlowOneThatProgresses) {
+// Guards against evicting the oldest incomplete request: the one without progress is evicted first.
+TEST(ClientConnections, EvictsStalledClientsBeforeAProgressingOne) {
   ProxyProcess proxy({.upstreams = 1, .sockets = 48});
   auto slow = proxy.connect();
   auto text = http_request("/pay");
@@ -67,9 +69,10 @@
   EXPECT_EQ(status_of(slow.receive_message()), 200);
 }
 
+// Guards against idle clients that use up the file descriptors and keep other clients out.
 TEST(ClientConnections, ClosesIdleClientsWhenDescriptorsRunOut) {
   for (int open_descriptors : {0, 40}) {
-    // With most descriptors in use accept() fails with EMFILE before a limit applies.
+    // With 40 more descriptors open, accept() fails with EMFILE before the connection limit is reached.
     ProxyProcess proxy(
         {.upstreams = 1, .sockets = open_descriptors > 0 ? 4096 : 48, .open_descriptors = open_descriptors});
     std::vector<TcpConnection> idle;
@@ -83,7 +86,8 @@
   }
 }
 
-// Some descriptors are reserved for rejections: a connection left in the backlog would get no response.
+// Guards against connections that stay in the listen backlog without a response: some descriptors are
+// reserved for rejections.
 TEST(ClientConnections, RejectsAtOnceBeyondTheInFlightLimit) {
   ProxyProcess proxy({.upstreams = 1, .sockets = 48});
   std::vector<TcpConnection> served;
@@ -110,26 +114,27 @@
     connections[i].send(ok_response);
     EXPECT_EQ(status_of(served[i].receive_message()), 200);
   }
-  // Once there is capacity again, all clients still connected are served.
+  // Clients that are still connected are served once there is capacity again.
   served[0].send(http_request("/pay"));
-  auto& upstream = connections.back();  // the most recently used is picked first
+  auto& upstream = connections.back();  // the most recently used connection is reused first
   upstream.receive_message();
   upstream.send(ok_response);
   EXPECT_EQ(status_of(served[0].receive_message()), 200);
 }
 
-// The limit counts requests in flight: connections beyond it are served in turn.
+// Guards against a limit that counts connections: it counts requests in flight, so further connections are
+// served one after another.
 TEST(ClientConnections, ServesBeyondLimitWhileFewRequestsAreInFlight) {
   ProxyProcess proxy({.upstreams = 1, .sockets = 48});
-  auto whole = http_request("/pay");
+  auto request = http_request("/pay");
   std::vector<TcpConnection> clients;
   for (int i = 0; i < 14; ++i) {
     clients.push_back(proxy.connect());
-    clients.back().send(whole.substr(0, 10));
+    clients.back().send(request.substr(0, 10));
   }
   TcpConnection upstream;
   for (auto& client : clients) {
-    client.send(whole.substr(10));
+    client.send(request.substr(10));
     if (&client == &clients.front()) upstream = proxy.upstreams[0].accept();
     upstream.receive_message();
     upstream.send(ok_response);
@@ -137,8 +142,8 @@
   }
 }
 
-// One turn of the event loop reports 256 connections: the timeouts of the others must not be handled before
-// their requests are read.
+// Guards against closing clients whose requests have arrived in time: epoll reports 256 connections per turn,
+// and the timeouts of the others must not be handled before their requests are read.
 TEST(ClientConnections, ReadsRequestsThatArrivedBeforeTheirTimeout) {
   ProxyProcess proxy({.upstreams = 1, .sockets = 1000});
   std::vector<TcpConnection> clients;
--- a/tests/e2e/client_disconnect_test.cpp
+++ b/tests/e2e/client_disconnect_test.cpp
@@ -1,6 +1,7 @@
-// Clients that disconnect before their request has ended: in one turn of the event loop with another event
-// (the program is paused meanwhile), or in a rare order. Each test is a row of docs/design/endings.md and
-// plays the clients and upstreams. Each case runs with cancellation allowed and forbidden.
+// Clients that disconnect before their request has ended: in the same turn of the event loop as another event
+// (the test pauses the program to force this), or in a rare order. Each test is a row of
+// docs/design/endings.md and runs with cancellation of attempts allowed and forbidden. The test acts as the
+// clients and the upstreams.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -17,32 +18,33 @@
 namespace meadowgauge::test {
 namespace {
 
-// Half-closes and receives the 500 that shows that the program has read the end of the client's stream.
+// Half-closes the connection and waits for the 500, which shows that the program has read the client's FIN.
 void half_close(TcpConnection& client) {
   client.end_sending();
   EXPECT_EQ(status_of(client.receive_message()), 500);
 }
 
-// The connection is established a second after the client disconnected, also without cancellation.
+// Guards against sending an abandoned request on a connection that is established 1 s after its client has
+// disconnected.
 TEST(ClientDisconnect, LateConnectionGetsNoAbandonedRequest) {
   for (bool cancelling : {true, false}) {
-    UnresponsiveHost back;
+    UnresponsiveHost unresponsive_host;
     ProxyProcess proxy(one_upstream(cancelling),
-                       endpoint_list(1, true, {endpoint_entry(0, back.listener.address())}));
+                       endpoint_list(1, true, {endpoint_entry(0, unresponsive_host.listener.address())}));
     auto client = proxy.connect();
     client.send(http_request("/pay"));
-    EXPECT_EQ(proxy.get_status("/-/ready"), 200);  // by now the request has been read
+    EXPECT_EQ(proxy.get_status("/-/ready"), 200);  // the program has read the request
     half_close(client);
-    auto first = back.listener.accept();  // the backlog has a free slot: the next SYN is accepted
-    auto upstream = back.listener.accept();
+    auto first = unresponsive_host.listener.accept();  // frees the backlog: the next SYN is accepted
+    auto upstream = unresponsive_host.listener.accept();
     expect_serves_new_client(proxy, upstream);
   }
 }
 
-// The same for a request that another upstream has rejected.
+// Guards against the same for a retry, after another upstream has rejected the request.
 TEST(ClientDisconnect, LateConnectionGetsNoAbandonedRetry) {
   for (bool cancelling : {true, false}) {
-    UnresponsiveHost back;
+    UnresponsiveHost unresponsive_host;
     ProxyProcess proxy(one_upstream(cancelling));
     auto discovery = proxy.discovery.accept();
     discovery.receive_message();
@@ -50,15 +52,17 @@
     client.send(http_request("/pay"));
     auto upstream = proxy.upstreams[0].accept();
     upstream.receive_message();
-    auto line = endpoint_list(2, false, {endpoint_entry(1, back.listener.address()), marker_entry}) + "\n";
+    auto line =
+        endpoint_list(2, false, {endpoint_entry(1, unresponsive_host.listener.address()), marker_entry}) +
+        "\n";
     discovery.send(http_message("HTTP/1.1 200 OK", line + std::string(9, '\n')));
     proxy.wait_for_log(marker_log);
     upstream.send(rejected_response);
     EXPECT_EQ(proxy.get_status("/-/ready"), 200);
     half_close(client);
-    auto first = back.listener.accept();
-    auto late = back.listener.accept();
-    // The next two requests use both connections; neither has the disconnected client's request.
+    auto first = unresponsive_host.listener.accept();
+    auto late = unresponsive_host.listener.accept();
+    // The next two requests use both connections. Neither connection carries the abandoned request.
     for (int i = 0; i < 2; ++i) {
       auto other = proxy.connect();
       auto request = http_request("/pay");
@@ -69,8 +73,8 @@
   }
 }
 
-// Thirty clients disconnect together; 0.1 s later the upstream rejects all their requests. None is retried at
-// the second upstream; the requests of thirty clients that stay are.
+// Guards against retries for clients that have left: thirty clients disconnect together, and 0.1 s later the
+// upstream rejects all their requests. Only requests of clients that stay are retried at the second upstream.
 TEST(ClientDisconnect, RetriesNoneOfThirtyThatDisconnectTogether) {
   for (bool cancelling : {true, false})
     for (bool disconnect : {true, false}) {
@@ -100,6 +104,7 @@
     }
 }
 
+// Guards against sending an abandoned request once the load report that it waited for has arrived.
 TEST(ClientDisconnect, DoesNotSendARequestThatWaitsForProbes) {
   for (bool cancelling : {true, false}) {
     ProxyProcess proxy(
@@ -121,7 +126,8 @@
   }
 }
 
-// No byte of the request is sent, over an idle connection or a new one.
+// Guards against sending a request whose client disconnects in the same turn, on an idle connection or a new
+// one.
 TEST(ClientDisconnect, DoesNotSendARequestThatArrivesInTheSameTurn) {
   for (bool cancelling : {true, false})
     for (bool idle : {true, false})
@@ -147,8 +153,8 @@
       }
 }
 
-// epoll reports the end of the stream once, while the first response is being sent; the pipelined request
-// must not be forwarded for a client that has left.
+// Guards against forwarding the pipelined request of a client that has left: epoll reports the client's FIN
+// only once, while the first response is being sent.
 TEST(ClientDisconnect, DuringAResponseCountsForThePipelinedRequest) {
   for (bool cancelling : {true, false}) {
     ProxyProcess proxy(one_upstream(cancelling));
@@ -156,20 +162,21 @@
     client.send(http_request("/pay"));
     auto upstream = proxy.upstreams[0].accept();
     upstream.receive_message();
-    std::string big(16 << 20, 'x');  // more than the buffers of sockets hold
-    std::thread sender([&] { upstream.send(http_message("HTTP/1.1 200 OK", big)); });
+    std::string large_body(16 << 20, 'x');  // larger than the socket buffers
+    std::thread sender([&] { upstream.send(http_message("HTTP/1.1 200 OK", large_body)); });
     EXPECT_TRUE(client.receive_some());
     client.send(http_request("/pay"));
     client.end_sending();
     EXPECT_EQ(proxy.get_status("/-/ready"), 200);
-    EXPECT_EQ(status_and_body(client.receive_message()).second.size(), big.size());
+    EXPECT_EQ(status_and_body(client.receive_message()).second.size(), large_body.size());
     EXPECT_EQ(status_of(client.receive_message()), 500);
     sender.join();
     expect_serves_new_client(proxy, upstream);
   }
 }
 
-// In both orders of the two events; the upstream connection stays usable.
+// Guards against two responses, and against an unusable upstream connection, when the client disconnects in
+// the same turn as the response arrives. Tests both orders of the events.
 TEST(ClientDisconnect, InOneTurnWithTheResponseGivesOneResponseAtMost) {
   for (bool cancelling : {true, false})
     for (bool answer_first : {true, false})
@@ -195,12 +202,14 @@
         EXPECT_TRUE(
             eventually([&] { return !upstream.quiet() || proxy.upstreams[0].has_pending_connection(); }));
         if (proxy.upstreams[0].has_pending_connection())
-          upstream = proxy.upstreams[0].accept();  // the attempt was cancelled
+          upstream =
+              proxy.upstreams[0].accept();  // the program has cancelled the attempt and closed its connection
         expect_next_request(upstream, request, other);
       }
 }
 
-// The upstream resets the attempt as the client half-closes: the client gets exactly one response.
+// Guards against two responses, or none, when the upstream resets its connection in the turn in which the
+// client half-closes.
 TEST(ClientDisconnect, InOneTurnWithAnUpstreamResetGivesOneResponse) {
   for (bool cancelling : {true, false})
     for (bool reset_first : {true, false}) {
@@ -208,8 +217,8 @@
       auto client = proxy.connect();
       client.send("GET /view HTTP/1.1\r\nHost: b\r\nX-Call-Id: gone" + std::string(reset_first ? "1" : "0") +
                   "\r\n\r\n");
-      auto at = wait_for_dialled_upstream(proxy);
-      auto upstream = proxy.upstreams[at].accept();
+      auto first_index = wait_for_dialled_upstream(proxy);
+      auto upstream = proxy.upstreams[first_index].accept();
       upstream.receive_message();
       proxy.pause();
       if (reset_first) upstream.reset();
@@ -221,9 +230,9 @@
       auto other = proxy.connect();
       auto request = http_request("/pay");
       other.send(request);
-      auto to = wait_for_dialled_upstream(proxy);
-      auto there = proxy.upstreams[to].accept();
-      expect_next_request(there, request, other);
+      auto next_index = wait_for_dialled_upstream(proxy);
+      auto next_upstream = proxy.upstreams[next_index].accept();
+      expect_next_request(next_upstream, request, other);
     }
 }
 
--- a/tests/e2e/configuration_test.cpp
+++ b/tests/e2e/configuration_test.cpp
@@ -1,5 +1,5 @@
-// Configuration at startup and on SIGHUP: an operator's file in place of discovery, and one-line errors. The
-// test starts the program and plays clients and upstreams over loopback.
+// Configuration at startup and on SIGHUP: an operator's configuration file instead of discovery, and errors
+// in one line. The test starts the program and acts as its clients and upstreams over loopback.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
   std::string output;  // standard output and error
 };
 
-// Runs a shell command to its end.
+// Runs a shell command and waits for its exit; status -1 if a signal ended it.
 ProgramResult run(const std::string& command) {
   auto* pipe = popen((command + " 2>&1").c_str(), "r");
   std::string output;
@@ -29,7 +29,9 @@
   return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, output};
 }
 
-TEST(Configuration, ServesByAnOperatorsFileAndRereadsItOnSighup) {
+// Guards against a reload that misses a removed server, and against an invalid file that replaces a valid
+// configuration.
+TEST(Configuration, ServesFromAnOperatorsFileAndReloadsIt) {
   ProxyProcess proxy({.upstreams = 2, .operator_file = true});
   auto client = proxy.connect();
   auto expect_served_by = [&](std::size_t expected) {
@@ -55,22 +57,23 @@
   expect_served_by(0);
 }
 
-TEST(Configuration, ReportsInOneLineWhatIsWrong) {
+// Guards against a failed start whose message does not name the invalid variable, path or option.
+TEST(Configuration, ReportsAnInvalidConfigurationInOneLine) {
   const std::string program = MEADOWGAUGE_PROGRAM;
-  const std::string all = "GW_NAME=n0 GW_LISTEN=127.0.0.1:0 GW_DISCOVERY=127.0.0.1:1 ";
+  const std::string variables_without_config = "GW_NAME=n0 GW_LISTEN=127.0.0.1:0 GW_DISCOVERY=127.0.0.1:1 ";
   const std::pair<std::string, std::string> cases[] = {
       {"GW_LISTEN=127.0.0.1:0 GW_DISCOVERY=127.0.0.1:1 GW_CONFIG=/x", "GW_NAME"},
       {"GW_NAME=n0 GW_DISCOVERY=127.0.0.1:1 GW_CONFIG=/x", "GW_LISTEN"},
       {"GW_NAME=n0 GW_LISTEN=here GW_DISCOVERY=127.0.0.1:1 GW_CONFIG=/x", "GW_LISTEN"},
-      {all, "GW_CONFIG"},
-      {all + "GW_CONFIG=/nowhere/at/all", "/nowhere/at/all"},
-      {all + "GW_CONFIG=/dev/null", "/dev/null"},
+      {variables_without_config, "GW_CONFIG"},
+      {variables_without_config + "GW_CONFIG=/nowhere/at/all", "/nowhere/at/all"},
+      {variables_without_config + "GW_CONFIG=/dev/null", "/dev/null"},
   };
-  for (const auto& [variables, named] : cases)
+  for (const auto& [variables, expected_name] : cases)
     for (std::string command : {"serve", "check"}) {
       auto [status, output] = run("env -u GW_NAME " + variables + " " + program + " " + command);
       EXPECT_EQ(status, 1);
-      EXPECT_NE(output.find(named), output.npos) << output;
+      EXPECT_NE(output.find(expected_name), output.npos) << output;
       EXPECT_EQ(std::count(output.begin(), output.end(), '\n'), 1) << output;
     }
   EXPECT_EQ(run(program + " check --config /nowhere/at/all").status, 1);
--- a/tests/e2e/discovery_watch_test.cpp
+++ b/tests/e2e/discovery_watch_test.cpp
@@ -1,5 +1,5 @@
-// The running program's watch on discovery: drains, older lists, lost connections, a reload that moves it.
-// The test plays discovery, the clients and the upstreams over loopback.
+// The running program's watch on discovery: drains, older lists, lost connections, and a reload that changes
+// the discovery address. The test acts as discovery, the clients and the upstreams over loopback.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -11,6 +11,7 @@
 namespace meadowgauge::test {
 namespace {
 
+// Sends six requests and expects the second upstream to get all of them.
 void expect_all_go_to_the_second(const ProxyProcess& proxy) {
   for (int i = 0; i < 6; ++i) {
     auto client = proxy.connect();
@@ -21,6 +22,7 @@
   EXPECT_FALSE(proxy.upstreams[0].has_pending_connection());
 }
 
+// Guards against a drain that is missed after a keep-alive line, a truncated line and an unreadable entry.
 TEST(DiscoveryWatch, SendsNothingNewToADrainingUpstream) {
   ProxyProcess proxy;
   auto watch = accept_watch(proxy.discovery);
@@ -32,19 +34,22 @@
   expect_all_go_to_the_second(proxy);
 }
 
-// A list may be delayed until after the drain.
+// Guards against an older list that arrives late and cancels a drain.
 TEST(DiscoveryWatch, KeepsADrainWhenAnOlderListArrives) {
   ProxyProcess proxy;
   auto watch = accept_watch(proxy.discovery);
-  std::string x = endpoint_entry(0, proxy.upstreams[0].address()),
-              y = endpoint_entry(1, proxy.upstreams[1].address());
-  publish(watch, endpoint_list(7, true, {endpoint_entry(0, proxy.upstreams[0].address(), "leaving"), y}));
-  publish(watch, endpoint_list(5, true, {x, y}));
-  publish(watch, endpoint_list(6, false, {x}));
+  std::string first_entry = endpoint_entry(0, proxy.upstreams[0].address()),
+              second_entry = endpoint_entry(1, proxy.upstreams[1].address());
+  publish(watch,
+          endpoint_list(7, true, {endpoint_entry(0, proxy.upstreams[0].address(), "leaving"), second_entry}));
+  publish(watch, endpoint_list(5, true, {first_entry, second_entry}));
+  publish(watch, endpoint_list(6, false, {first_entry}));
   proxy.wait_for_log("list 6 is older than 7");
   expect_all_go_to_the_second(proxy);
 }
 
+// Guards against dropping the endpoint list with the connection to discovery, and against a watch that does
+// not continue after the last version.
 TEST(DiscoveryWatch, KeepsTheListWhileDiscoveryIsLostAndResumes) {
   ProxyProcess proxy({.upstreams = 1});
   {
@@ -55,16 +60,17 @@
   client.send(http_request("/pay"));
   auto upstream = accept_and_respond(proxy.upstreams[0], ok_response);
   EXPECT_EQ(status_of(client.receive_message()), 200);
-  std::string again;
-  auto watch = accept_watch(proxy.discovery, &again);
-  EXPECT_TRUE(again.starts_with("GET /api/targets?watch=1&after=7 ")) << again;
+  std::string resumed_request;
+  auto watch = accept_watch(proxy.discovery, &resumed_request);
+  EXPECT_TRUE(resumed_request.starts_with("GET /api/targets?watch=1&after=7 ")) << resumed_request;
 }
 
-// The list and the requests in flight are kept, and the new agent is asked for the whole list.
+// Guards against a reload that loses the endpoint list or requests in flight, and against a new discovery
+// agent that is not asked for its complete list.
 TEST(DiscoveryWatch, MovesOnReloadWhileInFlightRequestsAreAnswered) {
   ProxyProcess proxy({.upstreams = 1});
-  auto old = accept_watch(proxy.discovery);
-  publish(old, endpoint_list(7, true, {endpoint_entry(0, proxy.upstreams[0].address())}));
+  auto old_watch = accept_watch(proxy.discovery);
+  publish(old_watch, endpoint_list(7, true, {endpoint_entry(0, proxy.upstreams[0].address())}));
   auto client = proxy.connect();
   client.send(http_request("/pay"));
   auto upstream = proxy.upstreams[0].accept();
@@ -76,20 +82,21 @@
   }
   ListeningSocket next;
   proxy.reload_with_discovery(next.address());
-  EXPECT_TRUE(old.wait_for_end());
+  EXPECT_TRUE(old_watch.wait_for_end());
   auto watch = next.accept();
   EXPECT_TRUE(watch.receive_message().starts_with("GET /api/targets HTTP/1.1"));
   ListeningSocket other;
-  // Larger than a request's body may be; its versions are its own, and what it does not name is gone.
+  // A list larger than the buffer for a request's body. The new agent has its own versions, and its complete
+  // list removes the endpoints that it does not name.
   watch.send(http_message("HTTP/1.1 200 OK", endpoint_list(3, true, {endpoint_entry(1, other.address())}) +
                                                  std::string(70000, ' ')));
   EXPECT_TRUE(watch.receive_message().starts_with("GET /api/targets?watch=1&after=3 "));
   upstream.send(ok_response);
   EXPECT_EQ(status_of(client.receive_message()), 200);
   client.send(http_request("/pay"));
-  auto there = accept_and_respond(other, ok_response);
+  auto new_upstream = accept_and_respond(other, ok_response);
   EXPECT_EQ(status_of(client.receive_message()), 200);
-  // An agent that does not respond is asked again; SIGTERM during a reload ends the process.
+  // The program asks an agent that does not respond again. SIGTERM during a reload ends the process.
   proxy.reload_with_discovery(proxy.discovery.address());
   auto silent = proxy.discovery.accept();
   silent.receive_message();
--- a/tests/e2e/forwarding_test.cpp
+++ b/tests/e2e/forwarding_test.cpp
@@ -1,5 +1,5 @@
-// Forwarding by the running program: requests passed unchanged, retried at another upstream, or rejected. The
-// test plays the clients, the upstreams and discovery over loopback.
+// Forwarding by the running program: requests are passed on unchanged, retried at another upstream, or
+// rejected. The test acts as the clients, the upstreams and discovery over loopback.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -63,8 +63,8 @@
   }
 }
 
-// A non-idempotent request may have executed once its last byte is sent: there is no other attempt, and no
-// status that invites the client to send it again.
+// Guards against a non-idempotent request that executes twice: once its last byte is sent it may have
+// executed, so there is no retry and no status that invites the client to repeat it.
 TEST(Forwarding, NonIdempotentRequestIsNotRetriedOnceSent) {
   for (std::string how :
        {"reset", "end", "half an answer", "nonsense", "500", "two lengths", "endless", "503"}) {
@@ -107,9 +107,9 @@
   client.send(http_request("/pay", 1000));
   auto upstream = receive_attempt(proxy).connection;
   EXPECT_EQ(status_of(client.receive_message()), 504);
-  // Asserts no upper bound: on a busy machine the response may be late.
+  // No upper bound, because the response may be late on a busy machine.
   EXPECT_GT(Clock::now() - start, std::chrono::milliseconds(800));
-  EXPECT_TRUE(upstream.wait_for_end());  // the connection of an abandoned attempt is closed
+  EXPECT_TRUE(upstream.wait_for_end());  // the program closes the connection of an abandoned attempt
 }
 
 TEST(Forwarding, RejectsAtOnceWhenTheBudgetIsSpent) {
@@ -121,16 +121,16 @@
 
 TEST(Forwarding, CancelsTheAttemptWhenTheClientDisconnects) {
   ProxyProcess proxy;
-  for (bool half : {false, true}) {
+  for (bool half_close : {false, true}) {
     auto client = proxy.connect();
     client.send(http_request("/pay"));
     auto upstream = receive_attempt(proxy).connection;
-    if (half)
+    if (half_close)
       client.end_sending();
     else
       client.close();
     EXPECT_TRUE(upstream.wait_for_end());
-    if (half) {
+    if (half_close) {
       EXPECT_EQ(status_of(client.receive_message()), 500);
     }
   }
@@ -154,8 +154,8 @@
   std::string body(std::size_t{64} * 1024, 'x');
   for (std::size_t i = 0; i < body.size(); ++i) body[i] = static_cast<char>(i * 31 % 251);
   auto client = proxy.connect();
-  auto whole = http_request("/pay", 9000, body);
-  for (std::size_t at = 0; at < whole.size(); at += 5000) client.send(whole.substr(at, 5000));
+  auto large_request = http_request("/pay", 9000, body);
+  for (std::size_t at = 0; at < large_request.size(); at += 5000) client.send(large_request.substr(at, 5000));
   auto upstream = proxy.upstreams[0].accept();
   auto received = upstream.receive_message();
   EXPECT_TRUE(received.ends_with("\r\n\r\n" + body));
@@ -185,20 +185,21 @@
 }
 
 TEST(Forwarding, RejectsWithNoUpstreamAndServesWithAThousand) {
-  ProxyProcess none({}, endpoint_list(1, true, {}));
-  auto client = none.connect();
+  ProxyProcess proxy_without_upstreams({}, endpoint_list(1, true, {}));
+  auto client = proxy_without_upstreams.connect();
   client.send(http_request("/pay"));
   EXPECT_EQ(status_of(client.receive_message()), 503);
   ListeningSocket listener;
   std::vector<std::string> hosts;
   for (int i = 0; i < 1000; ++i) hosts.push_back(endpoint_entry(i, listener.address()));
-  ProxyProcess many({}, endpoint_list(1, true, hosts));
-  auto another = many.connect();
+  ProxyProcess proxy_with_many_upstreams({}, endpoint_list(1, true, hosts));
+  auto another = proxy_with_many_upstreams.connect();
   another.send(http_request("/pay"));
   expect_served(listener, another);
 }
 
-// When load reports come only from probes, a request waits for the probes' responses.
+// Guards against picking an upstream without its load report: where only probes give load reports, a request
+// waits for the replies to the probes.
 TEST(Forwarding, PicksTheUpstreamWhoseProbesReportTheLeastLoad) {
   ProxyProcess proxy({.upstreams = 2,
                       .settings = R"(,"replicas_of_me":400,"limits":{"probes":true,"max_backend_fetches":3},)"
--- a/tests/e2e/initial_list_test.cpp
+++ b/tests/e2e/initial_list_test.cpp
@@ -1,5 +1,5 @@
-// A process that starts where endpoint lists are polled: its configured list may name endpoints that drained
-// or left long ago. The verdict is what the upstreams received.
+// The start of a process that polls discovery: its configured list may name endpoints that drained or left
+// long ago. The tests check what the upstreams receive.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -14,6 +14,7 @@
 
 const std::string polled_lists = R"(,"discovery":"subscribe")";
 
+// Sends a request on a new connection and returns the status of its response.
 int status_of_request(const ProxyProcess& proxy) {
   auto client = proxy.connect();
   client.send(http_request("/pay"));
@@ -21,7 +22,7 @@
 }
 
 // Guards against requests to endpoints that drained or left while the process was down.
-TEST(InitialEndpointList, NoRequestIsSentBeforeDiscoverysFirstList) {
+TEST(InitialEndpointList, NoRequestIsSentBeforeTheFirstList) {
   ProxyProcess proxy({.upstreams = 2, .settings = polled_lists});
   auto call = proxy.discovery.accept();
   EXPECT_EQ(proxy.get_status("/-/ready"), 503);
@@ -41,8 +42,9 @@
   EXPECT_FALSE(proxy.upstreams[0].has_pending_connection());
 }
 
-// Discovery is overloaded: it says so, and what it published binds.
-TEST(InitialEndpointList, ARefusedCallDoesNotLetRequestsPass) {
+// Guards against using the configured list while discovery is overloaded: discovery responds with 503, so the
+// lists that it has published are binding.
+TEST(InitialEndpointList, RejectsRequestsWhileDiscoveryRefusesCalls) {
   ProxyProcess proxy({.upstreams = 1, .settings = polled_lists});
   for (int i = 0; i < 2; ++i) {
     auto call = proxy.discovery.accept();
@@ -54,10 +56,11 @@
   EXPECT_FALSE(proxy.upstreams[0].has_pending_connection());
 }
 
-// Discovery is down: what it publishes binds only after its return, so the configured list is used meanwhile.
+// Guards against rejecting requests while discovery is down: the lists that it publishes are binding only
+// after it returns, so the configured list is used until then.
 TEST(InitialEndpointList, ServesWhileDiscoveryIsUnreachable) {
   ProxyProcess proxy({.upstreams = 1, .settings = polled_lists});
-  auto call = proxy.discovery.accept();  // and no response
+  auto call = proxy.discovery.accept();  // discovery does not respond
   proxy.wait_for_log("initial endpoint list: awaited -> unreachable");
   EXPECT_EQ(proxy.get_status("/-/ready"), 200);
   auto client = proxy.connect();
--- a/tests/e2e/migration_test.cpp
+++ b/tests/e2e/migration_test.cpp
@@ -1,5 +1,5 @@
-// Balancers of two deployments before the same upstreams, as during a migration (docs/migration.md). Both are
-// the program as a process; the test plays their clients, the upstreams and discovery.
+// Balancers of two deployments with the same upstreams, as during a migration (docs/migration.md). Each is
+// the program in its own process. The test acts as their clients, the upstreams and discovery.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,17 +16,18 @@
 namespace meadowgauge::test {
 namespace {
 
-// Totals over both upstreams.
-struct Ledger {
+// Totals of both upstreams.
+struct UpstreamTotals {
   std::set<std::string> request_ids;
   int executed_twice = 0;
   std::size_t max_queue_length = 0;
 };
 
-// An upstream that executes one request at a time, in the order of their arrival.
+// An upstream that executes one request at a time, in order of arrival.
 class SerialUpstream {
  public:
-  SerialUpstream(const ListeningSocket& listener, Ledger& ledger) : listener_(listener), ledger_(ledger) {}
+  SerialUpstream(const ListeningSocket& listener, UpstreamTotals& totals)
+      : listener_(listener), totals_(totals) {}
 
   // Reads pending bytes and responds to a request whose service time is over. Never blocks.
   void serve() {
@@ -41,7 +42,7 @@
  private:
   struct Connection {
     TcpConnection peer;
-    bool busy = false;  // its request is queued, or it has ended
+    bool busy = false;  // its request is queued, or the connection has ended
   };
 
   void receive(std::size_t i) {
@@ -56,14 +57,14 @@
     if (message.empty()) return;
     queue_.push_back(i);
     ++received_;
-    if (!ledger_.request_ids.insert(id_field_of(message)).second) ++ledger_.executed_twice;
-    ledger_.max_queue_length = std::max(ledger_.max_queue_length, queue_.size());
+    if (!totals_.request_ids.insert(id_field_of(message)).second) ++totals_.executed_twice;
+    totals_.max_queue_length = std::max(totals_.max_queue_length, queue_.size());
   }
 
   void respond() {
     if (queue_.empty()) done_at_ = {};
     if (queue_.empty() || Clock::now() < done_at_) return;
-    if (done_at_ == Clock::time_point{}) {  // starts the first request of the queue
+    if (done_at_ == Clock::time_point{}) {  // starts to execute the first request of the queue
       done_at_ = Clock::now() + service_time_;
       return;
     }
@@ -75,10 +76,10 @@
   }
 
   const ListeningSocket& listener_;
-  Ledger& ledger_;
+  UpstreamTotals& totals_;
   std::vector<Connection> connections_;
-  std::vector<std::size_t> queue_;  // indices of the connections whose requests wait
-  Clock::time_point done_at_;       // of the request being executed; zero: there is none
+  std::vector<std::size_t> queue_;  // connections, by index, whose requests wait or are executed
+  Clock::time_point done_at_;       // end of the request in execution; zero if there is none
   std::chrono::milliseconds service_time_{12};
   int received_ = 0;
 };
@@ -90,8 +91,8 @@
   [[nodiscard]] int total() const { return previous + current; }
 };
 
-// One balancer of a pool, which reads load reports in responses, and one of four hundred beside their
-// clients, which probes. Both have the two upstreams of the first.
+// A balancer of the previous deployment, a pool, which reads load reports from responses, and a balancer of
+// the current deployment, one of 400 beside their clients, which probes. Both use the upstreams of the first.
 class TwoDeployments {
  public:
   explicit TwoDeployments(const std::string& current_settings)
@@ -102,13 +103,14 @@
     for (const auto* proxy : {&previous_, &current_}) watches_.push_back(accept_watch(proxy->discovery));
   }
 
-  // Discovery announces a change of the second upstream to both.
+  // Publishes a change of the second upstream to both balancers.
   void publish_second(int version, const std::string& health, double started_ms = 0) const {
     auto entry = endpoint_entry(1, previous_.upstreams[1].address(), health, started_ms);
     for (const auto& watch : watches_) publish(watch, endpoint_list(version, false, {entry}));
   }
 
-  // Runs until so many requests succeeded; four clients at each balancer send one after another.
+  // Runs until `requests` requests have succeeded. Four clients of each balancer send one request after
+  // another.
   Succeeded run(int requests) {
     auto previous_clients = connect_clients(previous_);
     auto current_clients = connect_clients(current_);
@@ -124,7 +126,7 @@
     return succeeded;
   }
 
-  [[nodiscard]] const Ledger& ledger() const { return ledger_; }
+  [[nodiscard]] const UpstreamTotals& totals() const { return totals_; }
   SerialUpstream& second() { return second_; }
 
  private:
@@ -133,7 +135,7 @@
     for (int i = 0; i < 4; ++i) clients.emplace_back(proxy.connect()).send(http_request("/pay"));
     return clients;
   }
-  // Reads the pending responses; each client then sends its next request. Returns how many succeeded.
+  // Reads the pending responses and sends the next request of each client. Returns the number of successes.
   static int receive_responses(std::vector<TcpConnection>& clients) {
     int succeeded = 0;
     for (auto& client : clients) {
@@ -144,41 +146,44 @@
     return succeeded;
   }
 
-  Ledger ledger_;
+  UpstreamTotals totals_;
   ProxyProcess previous_;
   ProxyProcess current_;
   std::vector<TcpConnection> watches_;
-  SerialUpstream first_{previous_.upstreams[0], ledger_};
-  SerialUpstream second_{previous_.upstreams[1], ledger_};
+  SerialUpstream first_{previous_.upstreams[0], totals_};
+  SerialUpstream second_{previous_.upstreams[1], totals_};
 };
 
 const std::string one_of_many = R"(,"replicas_of_me":400,"my_number":7,"limits":{"probes":true})";
 
-// Neither deployment gets less than a quarter of what both serve, nothing non-idempotent is executed twice,
-// no queue grows beyond what all clients ask for, and a drain and a slow start hold for the sum of both.
+// Guards against deployments that take capacity from each other: each serves at least a quarter of all
+// requests, no non-idempotent request executes twice, no queue is longer than the number of clients, and the
+// limits of a drain and of a slow start hold for the sum of both.
 TEST(Migration, InstancesOfBothDeploymentsShareTheUpstreams) {
-  TwoDeployments both(one_of_many + R"(,"report":{"columns":["concurrent","depth"],"how":"on_probe"})");
-  auto succeeded = both.run(200);
+  TwoDeployments deployments(one_of_many +
+                             R"(,"report":{"columns":["concurrent","depth"],"how":"on_probe"})");
+  auto succeeded = deployments.run(200);
   EXPECT_GE(4 * succeeded.previous, succeeded.total()) << succeeded.current;
   EXPECT_GE(4 * succeeded.current, succeeded.total()) << succeeded.previous;
-  EXPECT_EQ(both.ledger().executed_twice, 0);
-  EXPECT_LE(both.ledger().max_queue_length, 8U);
-  // Once both have read that one drains, neither sends it anything.
-  both.publish_second(2, "leaving");
-  both.run(30);
-  int before = both.second().received();
-  both.run(60);
-  EXPECT_EQ(both.second().received(), before);
-  // It restarts with a fifth of its later capacity: within any 1.5 s it may be sent twice that.
-  both.second().slow_down(5);
+  EXPECT_EQ(deployments.totals().executed_twice, 0);
+  EXPECT_LE(deployments.totals().max_queue_length, 8U);
+  // Once both have read that the second upstream drains, neither sends to it.
+  deployments.publish_second(2, "leaving");
+  deployments.run(30);
+  int before = deployments.second().received();
+  deployments.run(60);
+  EXPECT_EQ(deployments.second().received(), before);
+  // The second upstream restarts with a fifth of its capacity. Within any 1.5 s it may get twice as many
+  // requests as it can serve then.
+  deployments.second().slow_down(5);
   auto restarted = Clock::now();
-  both.publish_second(3, "active", static_cast<double>(std::time(nullptr)) * 1000);
-  before = both.second().received();
-  both.run(100);
+  deployments.publish_second(3, "active", static_cast<double>(std::time(nullptr)) * 1000);
+  before = deployments.second().received();
+  deployments.run(100);
   auto elapsed_ms = std::chrono::duration<double, std::milli>(Clock::now() - restarted).count();
-  EXPECT_LE(both.second().received() - before, 2 * std::max(elapsed_ms, 1500.0) / 60);
-  EXPECT_GT(both.second().received(), before);
-  // Without its probes the new deployment is held to a four-hundredth of the capacity.
+  EXPECT_LE(deployments.second().received() - before, 2 * std::max(elapsed_ms, 1500.0) / 60);
+  EXPECT_GT(deployments.second().received(), before);
+  // Without probes the current deployment is limited to 1/400 of the capacity.
   TwoDeployments without_probes(one_of_many + R"(,"report":{"columns":[],"how":"off"})");
   auto unequal = without_probes.run(200);
   EXPECT_LT(4 * unequal.current, unequal.total());
--- a/tests/e2e/random_events_test.cpp
+++ b/tests/e2e/random_events_test.cpp
@@ -1,8 +1,8 @@
 // Random sequences of events around the running program: clients that send, half-close and reset, upstreams
-// that respond, fail and hang, endpoint lists, signals and pauses. The test plays all of them over loopback
-// and records what each request got; at the end nothing may be unanswered, executed again, or held open. The
-// cases that are forced one by one stand in e2e_client_disconnect_test.cpp and the others that
-// docs/design/endings.md names.
+// that respond, fail and hang, endpoint lists, signals and pauses. The test creates the events over loopback
+// and records the outcome of each request. At the end no request may be unanswered or executed twice, and no
+// descriptor may be left open. client_disconnect_test.cpp and the other tests that docs/design/endings.md
+// names force single cases.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -29,7 +29,7 @@
     R"({"name":"set","repeat":"deduplicated","group":"all","key_ttl_ms":5000.0,)"
     R"("client_timeout_ms":900.0}])";
 
-// One sequence, drawn from its seed.
+// One sequence of events, derived from a seed.
 class RandomEvents {
  public:
   explicit RandomEvents(std::uint32_t seed)
@@ -50,15 +50,15 @@
   }
 
  private:
-  // The outcome of a request: the client's responses, and how often it reached an upstream.
+  // The outcome of a request: the responses to its client, and how often upstreams received it.
   struct RequestRecord {
     int responses = 0;
     int status = 0;
     int received = 0;
     int rejected = 0;
-    int received_again = 0;     // after an attempt that was not rejected
-    bool disconnected = false;  // its client left before the response
-    bool truncated = false;     // its response ended before it was whole
+    int received_again = 0;     // received after an attempt that was not rejected
+    bool disconnected = false;  // the client disconnected before the response
+    bool truncated = false;     // the response ended before it was complete
   };
   struct Client {
     TcpConnection connection;
@@ -67,17 +67,18 @@
   struct UpstreamConnection {
     TcpConnection peer;
     int upstream;
-    std::string request_id;  // not responded to yet; empty: none
+    std::string request_id;  // the request without a response; empty if there is none
   };
 
-  // --- The verdict --------------------------------------------------------------------------------------
+  // --- Expectations -------------------------------------------------------------------------------------
 
   [[nodiscard]] bool some_unanswered() const {
     return std::any_of(clients_.begin(), clients_.end(),
                        [](const Client& client) { return !client.unanswered.empty(); });
   }
 
-  // A client that stayed has one response to each request, and no request that may have executed was resent.
+  // Expects each client that stayed to have one response per request, and no request that may have executed
+  // to be sent again.
   void expect_all_answered() {
     auto until = Clock::now() + ms(wait_limit_ms);
     while (some_unanswered() && Clock::now() < until) serve();
@@ -100,7 +101,7 @@
     auto until = Clock::now() + ms(wait_limit_ms);
     health_ = {"leaving", "active", "active"};
     ++list_version_;
-    // Publishes on each watch from now on, because the program may be replacing the open one.
+    // Publishes the marker on every watch from now on, because the program may be replacing the open watch.
     auto marker = "mark" + std::to_string(list_version_);
     marker_ = R"({"host":")" + marker + R"(","health":"odd"})";
     publish_list();
@@ -112,11 +113,11 @@
       send_request("view", 900);
       while (some_unanswered() && Clock::now() < until) serve();
     }
-    EXPECT_EQ(received_by_upstream_[0], before) << "sent to a server that drains";
+    EXPECT_EQ(received_by_upstream_[0], before) << "sent to a draining server";
     clients_.clear();
   }
 
-  // All descriptors are released, and the sanitizers find nothing at the exit.
+  // Expects all descriptors to be released, and the sanitizers to find nothing at the exit.
   void expect_clean_exit() {
     upstream_connections_.clear();
     for (int i = 0; i < 2; ++i) EXPECT_EQ(proxy_.get_status("/-/ready"), 200);
@@ -132,6 +133,7 @@
     return static_cast<std::size_t>(random_below(static_cast<int>(size)));
   }
 
+  // Triggers one random event.
   void step() {
     int event = random_below(24);
     if (event < 9) return send_random_request();
@@ -148,7 +150,7 @@
       upstream_connections_[random_index(upstream_connections_.size())].peer.reset();
       drop_ended_connections();
     }
-    if (event > 20) std::this_thread::sleep_for(ms(random_below(40)));  // some timeouts expire
+    if (event > 20) std::this_thread::sleep_for(ms(random_below(40)));  // lets some timeouts expire
   }
 
   void send_random_request() {
@@ -158,7 +160,7 @@
     send_request(classes[random_below(3)], budget_ms, partial);
   }
 
-  // A request of that class and a new client; `partial`: without its last bytes.
+  // Sends a request of the class `name` from a new client. If `partial`, the last bytes are not sent.
   void send_request(const std::string& name, int budget_ms, bool partial = false) {
     auto id = "X-Call-Id: " + name + std::to_string(++last_id_);
     auto text = (name == "view" ? "GET /view" : "POST /" + name) + " HTTP/1.1\r\nHost: b\r\n" + id +
@@ -195,7 +197,7 @@
 
   // --- The stand-ins ------------------------------------------------------------------------------------
 
-  // Reads all pending bytes of all stand-ins.
+  // Accepts connections, reads all pending bytes and responds, for all stand-ins.
   void serve() {
     std::this_thread::sleep_for(ms(1));
     accept_upstream_connections();
@@ -242,9 +244,9 @@
       case 4:
         peer.send(ok_response.substr(0, ok_response.size() - 3));
         return peer.close();
-      case 5:  // responds without an end
+      case 5:  // starts a response that does not end
         return peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
-      case 6:  // hangs
+      case 6:  // does not respond
         return;
       default:
         return peer.send(ok_response);
@@ -262,7 +264,7 @@
       record.status = status_of(*message);
       client.unanswered.erase(client.unanswered.begin());
     }
-    // A response that had begun may be truncated, as long as the client can tell.
+    // A response that has begun may be truncated, as long as the client can detect it.
     if (!ended) return;
     for (const auto& id : std::exchange(client.unanswered, {})) requests_[id].truncated = true;
   }
@@ -284,7 +286,7 @@
     return is_watch_ && !watches_.empty() && watches_.back().is_open() && watches_.back().alive();
   }
 
-  // The whole list: a line of the watch, or the response to a request for it.
+  // Publishes the complete list, as a line of the watch or as the response to a request for the list.
   void publish_list() {
     if (watches_.empty() || !watches_.back().is_open()) return;
     std::vector<std::string> entries;
@@ -306,19 +308,20 @@
   long descriptors_at_start_;
   std::vector<Client> clients_;
   std::vector<TcpConnection> half_closed_;
-  std::vector<TcpConnection> watches_;  // the last is the one in use
+  std::vector<TcpConnection> watches_;  // the last one is in use
   std::vector<UpstreamConnection> upstream_connections_;
   std::map<std::string, RequestRecord> requests_;
   std::map<int, int> received_by_upstream_;
-  std::string marker_;  // an entry of the list whose log line shows that it was read
+  std::string marker_;  // an entry whose log line shows that the list was read
   std::vector<std::string> health_ = {"active", "active", "active"};
   int last_id_ = 0;
   int list_version_ = 1;
   bool paused_ = false;
-  bool cooperative_ = false;  // upstreams respond at once and well
-  bool is_watch_ = false;     // the last connection of discovery has begun a watch
+  bool cooperative_ = false;  // upstreams respond at once and with success
+  bool is_watch_ = false;     // the last connection to discovery is a watch
 };
 
+// Guards against lost, repeated or hanging requests and leaked descriptors in rare orders of events.
 TEST(RandomEvents, LeaveNoRequestUnanswered) {
   for (std::uint32_t seed = 1; seed <= 24; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
--- a/tests/e2e/request_validation_test.cpp
+++ b/tests/e2e/request_validation_test.cpp
@@ -1,5 +1,5 @@
-// Requests that the running program refuses: malformed messages, ambiguous ones, unknown paths. The test
-// plays the clients and one or two upstreams over loopback.
+// Requests that the running program refuses: malformed messages, ambiguous requests and unknown paths. The
+// test acts as the clients and one or two upstreams over loopback.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -11,19 +11,20 @@
 namespace meadowgauge::test {
 namespace {
 
+// Guards against forwarding a malformed or oversized message, and against reusing its connection.
 TEST(RequestValidation, AnswersMalformedMessagesByStatusAndCloses) {
   ProxyProcess proxy;
-  const std::string line = "POST /pay HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\n";
+  const std::string head = "POST /pay HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\n";
   const std::pair<int, std::string> cases[] = {
       {400, "nonsense\r\n\r\n"},
-      {400, line + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na"},
-      {400, line + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
-      {400, line + "Transfer-Encoding: gzip, chunked\r\n\r\n"},
-      {400, line + "Content-Length: -1\r\n\r\n"},
-      {400, line + " folded: 1\r\n\r\n"},
-      {413, line + "Content-Length: 34603009\r\n\r\n"},
-      {413, line + "Content-Length: 99999999999999999999\r\n\r\n"},
-      {431, line + "Big: " + std::string(20000, 'x') + "\r\n\r\n"},
+      {400, head + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na"},
+      {400, head + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
+      {400, head + "Transfer-Encoding: gzip, chunked\r\n\r\n"},
+      {400, head + "Content-Length: -1\r\n\r\n"},
+      {400, head + " folded: 1\r\n\r\n"},
+      {413, head + "Content-Length: 34603009\r\n\r\n"},
+      {413, head + "Content-Length: 99999999999999999999\r\n\r\n"},
+      {431, head + "Big: " + std::string(20000, 'x') + "\r\n\r\n"},
   };
   for (const auto& [status, text] : cases) {
     auto client = proxy.connect();
@@ -36,6 +37,7 @@
   EXPECT_FALSE(proxy.upstreams[0].has_pending_connection() || proxy.upstreams[1].has_pending_connection());
 }
 
+// Guards against forwarding unknown paths, and against refusing unknown tenants.
 TEST(RequestValidation, AnswersUnknownPathsAndServesUnknownTenants) {
   ProxyProcess proxy({.upstreams = 1});
   EXPECT_EQ(proxy.get_status("/elsewhere"), 404);
@@ -47,7 +49,8 @@
   EXPECT_EQ(status_of(client.receive_message()), 200);
 }
 
-// A request that can be read in two ways may not be what its client asked for.
+// Guards against forwarding invalid requests, and requests that the program and a server may interpret
+// differently.
 TEST(RequestValidation, RefusesInvalidAndAmbiguousRequests) {
   ProxyProcess proxy(
       {.upstreams = 1,
@@ -80,7 +83,7 @@
       {405, "HEAD /view HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\n"},
       {404, "POST /elsewhere HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\n"},
       {400, view + "Content-Length: 2\r\n\r\nhi"},
-      // A server that resolves these would run them under `pay`.
+      // A server that resolves the dot segments would execute these under `pay`.
       {400, "GET /view/../pay/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\n"},
       {400, "GET /view/%2e%2e/pay/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\n"},
       {400, "GET /view/..%2Fpay HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\n"},
@@ -96,7 +99,7 @@
   EXPECT_FALSE(proxy.upstreams[0].has_pending_connection());
   upstream.send(ok_response);
   EXPECT_EQ(status_of(open.receive_message()),
-            200);  // its id was its own all the time, and is free from now on
+            200);  // the refused duplicate did not release the id; from now on the id is free
   open.send("POST /pay HTTP/1.1\r\nHost: b\r\nX-Call-Id: open\r\nContent-Length: 0\r\n\r\n");
   upstream.receive_message();
   upstream.send(ok_response);
--- a/tests/e2e/shutdown_soak.cpp
+++ b/tests/e2e/shutdown_soak.cpp
@@ -1,6 +1,6 @@
-// Random shutdowns under load, each drawn from its seed: clients go on using their open connections until the
-// kill, others send much and leave, signals come in series, upstreams fail and hang, lists are pushed or
-// polled. The verdict is taken from what clients and upstreams saw.
+// Random shutdowns under load, each derived from a seed: some clients use their open connections until the
+// kill, others send many requests and disconnect, signals arrive in series, upstreams fail and hang, and
+// endpoint lists are pushed or polled. The test checks what clients and upstreams observe.
 //
 //   meadowgauge_soak [FIRST_SEED [SEEDS [STEPS]]]
 #include <gtest/gtest.h>
@@ -16,6 +16,7 @@
 namespace meadowgauge::test {
 namespace {
 
+// One run: load with random events, a series of signals, and the exit of the process.
 class ShutdownSoak {
  public:
   explicit ShutdownSoak(std::uint32_t seed)
@@ -26,7 +27,7 @@
     if (has_idle_crowd_) run_.clients.connect_crowd();
     if (has_floods_) run_.floods.enable();
     for (int i = 0; i < steps; ++i) {
-      if (i % 8 == 7) random_event();
+      if (i % 8 == 7) trigger_random_event();
       run_.turn();
     }
     auto terminated_at = Clock::now();
@@ -37,7 +38,7 @@
   }
 
  private:
-  void random_event() {
+  void trigger_random_event() {
     switch (run_.random.below(8)) {
       case 0:
         return run_.proxy.reload();
@@ -54,7 +55,7 @@
     }
   }
 
-  // One of the series of signals that end a process; the first SIGTERM begins the shutdown.
+  // Sends one of several series of signals. The first SIGTERM of each starts the shutdown.
   void send_signals() {
     int series = run_.random.below(6);
     if (series == 0) run_.proxy.reload();
@@ -70,16 +71,17 @@
   SoakRun run_;
 };
 
+// Command-line argument number `index` as an integer, or `fallback` if there is none.
 int argument(int index, int fallback) {
-  const auto& all = testing::internal::GetArgvs();
+  const auto& arguments = testing::internal::GetArgvs();
   auto position = static_cast<std::size_t>(index);
-  return position < all.size() ? std::atoi(all[position].c_str()) : fallback;
+  return position < arguments.size() ? std::atoi(arguments[position].c_str()) : fallback;
 }
 
 int first_seed() { return argument(1, 1); }
 int end_of_seeds() { return first_seed() + argument(2, 12); }
 
-// Guards against lost and repeated requests of clients that go on after SIGTERM.
+// Guards against lost and repeated requests of clients that continue to send after SIGTERM.
 TEST(ShutdownSoak, NoRequestIsLostWhileClientsUseTheirConnections) {
   int steps = argument(3, 300);
   for (int seed = first_seed(); seed < end_of_seeds(); ++seed) {
@@ -88,9 +90,9 @@
   }
 }
 
-// Guards against requests lost by a process that ends before it has its first list, or as it begins to
-// listen.
-TEST(ShutdownSoak, EndedInTheFirstMilliseconds) {
+// Guards against requests lost by a process that gets SIGTERM before its first endpoint list, or as it starts
+// to listen.
+TEST(ShutdownSoak, SigtermInTheFirstMilliseconds) {
   for (int seed = first_seed(); seed < end_of_seeds(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     EarlyTermination(static_cast<std::uint32_t>(seed)).run();
--- a/tests/e2e/silent_watch_test.cpp
+++ b/tests/e2e/silent_watch_test.cpp
@@ -1,5 +1,5 @@
-// Polled watches of the running program that fall silent while an endpoint drains. The verdict is what the
-// upstreams received.
+// Polling watches of the running program that stop delivering while an endpoint drains. The test checks what
+// the upstreams receive.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,9 +20,9 @@
 constexpr int grace_ms = 250;
 constexpr int process_count = 16;
 constexpr int line_interval_ms = 1000;
-constexpr int fleet_size = 160;  // the largest whose watches may fall silent together
+constexpr int fleet_size = 160;  // the largest fleet whose watches may all become silent at once
 
-// One balancer of a large fleet, and what the test holds for it.
+// One balancer of a large fleet, and its connections to discovery.
 struct Balancer {
   explicit Balancer(int number)
       : proxy({.upstreams = 2,
@@ -34,20 +34,20 @@
                          {endpoint_entry(0, proxy.upstreams[0].address(), health),
                           endpoint_entry(1, proxy.upstreams[1].address())});
   }
-  // Takes the next call and sends the list, with that health of the first endpoint.
+  // Accepts the next call to discovery and sends the list, with `health` for the first endpoint.
   void answer_next_call(int version, const std::string& health) {
     watches.push_back(accept_watch(proxy.discovery));
     publish(watches.back(), list(version, health));
   }
 
   ProxyProcess proxy;
-  std::vector<TcpConnection> watches;  // those that fell silent stay open
+  std::vector<TcpConnection> watches;  // silent watches stay open
 };
 
 using Balancers = std::vector<std::unique_ptr<Balancer>>;
 
-// Opens the first watch of each, whose calls are spread over a frame; those that are open stay alive
-// meanwhile.
+// Opens the first watch of each balancer. The balancers spread their calls over time, so watches that are
+// already open get keep-alive lines until all are open.
 void open_watches(const Balancers& balancers) {
   auto all_open = [&] {
     return std::all_of(balancers.begin(), balancers.end(),
@@ -68,14 +68,15 @@
   ASSERT_TRUE(all_open());
 }
 
-// Guards against requests to endpoints that drain while the watch is silent: the watch must be reopened early
-// enough for the list to arrive before the drain binds.
+// Guards against requests to an endpoint that drains while the watch is silent: the program must reopen the
+// watch early enough for the list to arrive before the drain is binding.
 TEST(SilentWatch, NoRequestAfterTheDrainBinds) {
   Balancers balancers;
   for (int number = 0; number < fleet_size; number += fleet_size / process_count)
     balancers.push_back(std::make_unique<Balancer>(number));
   open_watches(balancers);
-  // The last lines of each watch; all are silent from here on. Their number varies what is drawn at random.
+  // The last lines of each watch; all watches are silent from here on. The number of lines varies the random
+  // draws of the balancers.
   for (std::size_t i = 0; i < balancers.size(); ++i)
     for (std::size_t line = 0; line <= i; ++line) publish(balancers[i]->watches.back(), "");
   auto silent_since = Clock::now();
--- a/tests/e2e/soak/cell_groups.hpp
+++ b/tests/e2e/soak/cell_groups.hpp
@@ -1,5 +1,4 @@
-// The cells in which the soak's upstreams stand, and the verdict on requests whose key is remembered in one
-// cell.
+// The cells of the soak's upstreams, and the check of requests whose key is known in one cell only.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,11 +16,12 @@
 
 namespace meadowgauge::test {
 
-// The list tells a move; until it is read, and while requests are on their way, the former cell counts as
-// well.
+// An endpoint list announces a move. For this time, until the program has read the list and requests in
+// transit have arrived, the former cell is valid as well.
 constexpr auto move_known_after = drain_grace + tolerance;
 
-// Two cells, 0 and 1: one upstream, drawn from the seed, stands apart from the others. One upstream may move.
+// The upstreams in two cells, 0 and 1. One random upstream starts in cell 1, the others in cell 0. One
+// upstream may move once.
 class CellPlacement {
  public:
   explicit CellPlacement(RandomDraws& random) {
@@ -38,7 +38,7 @@
     moved_at_ = Clock::now();
     cells_.at(upstream) = cell;
   }
-  // The cells in which the program may place the upstream at this moment.
+  // The cells to which the program may assign the upstream at present.
   [[nodiscard]] std::set<int> possible_cells(std::size_t upstream) const {
     std::set<int> possible{cells_.at(upstream)};
     bool moved_lately =
@@ -55,7 +55,8 @@
   Clock::time_point moved_at_;
 };
 
-// Each attempt of a `hold` request stays in the cells of its earlier attempts that may have run.
+// Expects each attempt of a `hold` request to share a cell with every earlier attempt of the request that may
+// have executed.
 class CellGroupVerdict {
  public:
   explicit CellGroupVerdict(const CellPlacement& cells) : cells_(cells) {}
@@ -66,12 +67,13 @@
     auto& attempts = attempts_[request_id];
     for (const auto& earlier : attempts)
       EXPECT_TRUE(earlier.rejected || have_common_cell(earlier.cells, possible))
-          << request_id << " may have run at upstream " << earlier.upstream << " and was sent to upstream "
-          << upstream << " of another cell";
+          << request_id << " may have executed at upstream " << earlier.upstream
+          << " and was sent to upstream " << upstream << " of another cell";
     attempts.push_back({.upstream = upstream, .cells = possible, .rejected = false});
   }
 
-  // The upstream did not run its latest attempt.
+  // Records that the upstream rejected its latest attempt of the request, so that the attempt did not
+  // execute.
   void attempt_rejected(const std::string& request_id, std::size_t upstream) {
     auto attempts = attempts_.find(request_id);
     if (attempts == attempts_.end()) return;
--- a/tests/e2e/soak/early_termination.hpp
+++ b/tests/e2e/soak/early_termination.hpp
@@ -1,5 +1,5 @@
-// SIGTERM in the first milliseconds of a process, while it reads its configuration, begins to listen or has
-// no list yet. Clients connect as soon as it listens.
+// SIGTERM in the first milliseconds of a process, while it reads its configuration, starts to listen or waits
+// for its first endpoint list. Clients connect as soon as it listens.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,6 +16,7 @@
 
 namespace meadowgauge::test {
 
+// One run, derived from a seed: the start of the process, a series of signals, and its exit.
 class EarlyTermination {
  public:
   explicit EarlyTermination(std::uint32_t seed) : run_(seed, false) {
@@ -27,15 +28,16 @@
     auto terminated_at = Clock::now();
     send_signals();
     run_.await_exit(terminated_at);
-    expect_served_while_clients_come(Clock::now() - terminated_at);
+    expect_served_while_clients_connect(Clock::now() - terminated_at);
     expect_requests_answered(run_.requests);
   }
 
  private:
-  // New connections go on coming for so long after SIGTERM.
-  static constexpr auto clients_come_for = std::chrono::milliseconds(400);
+  // New connections may arrive for this long after SIGTERM.
+  static constexpr auto new_connection_period = std::chrono::milliseconds(400);
 
-  // Half of the signals are timed from the process's start, the others from its first log that it listens.
+  // Waits for the time of the signals: in half of the runs it counts from the start of the process, in the
+  // others from the log line that it listens.
   void await_termination_time() {
     bool waits_for_listener = run_.random.below(2) == 0;
     auto delay = ms(run_.random.below(waits_for_listener ? 12 : 150));
@@ -62,8 +64,9 @@
     if (series == 2) run_.proxy.reload();
   }
 
-  // A process that never listened may end at once, also by the signal: no client could reach it.
-  void expect_served_while_clients_come(Clock::duration ended_after) {
+  // A process that has not listened may end at once or be killed by the signal, because no client could reach
+  // it.
+  void expect_served_while_clients_connect(Clock::duration exit_delay) {
     bool has_listened = run_.proxy.is_listening();
     int status = run_.proxy.exit_status();
     if (!has_listened) {
@@ -71,7 +74,7 @@
       return;
     }
     EXPECT_EQ(status, 0);
-    EXPECT_GE(ended_after, clients_come_for) << "ended while new connections still come";
+    EXPECT_GE(exit_delay, new_connection_period) << "ended while new connections may still arrive";
   }
 
   Clock::time_point started_at_ = Clock::now();
--- a/tests/e2e/soak/soak_clients.hpp
+++ b/tests/e2e/soak/soak_clients.hpp
@@ -1,4 +1,4 @@
-// Clients of the soak: they pipeline now and then, and use each connection as long as it is open.
+// Clients of the soak. They sometimes pipeline requests, and use each connection as long as it is open.
 #pragma once
 
 #include <string>
@@ -13,11 +13,11 @@
 namespace meadowgauge::test {
 
 struct SoakRequest {
-  std::string id;  // the header field
+  std::string id;  // the header field with the id
   std::string message;
 };
 
-// A request of a class and with a budget that are drawn. `suffix` makes its id and its key unique.
+// A request with a random class and a random budget. `suffix` makes its id and its idempotency key unique.
 inline SoakRequest random_request(RandomDraws& random, const std::string& suffix) {
   constexpr const char* classes[] = {"pay", "view", "set", "hold"};
   std::string name = classes[random.below(4)];
@@ -28,12 +28,13 @@
   return {.id = id, .message = name == "view" ? head + "\r\n\r\n" : http_message(head, "the body")};
 }
 
+// A fixed number of clients with one connection each, and idle clients on top.
 class SoakClients {
  public:
   SoakClients(const ProxyProcess& proxy, RandomDraws& random, RequestRecords& requests)
       : proxy_(proxy), random_(random), requests_(requests) {}
 
-  // Requests are pipelined now and then; a connection stays in use as long as it is open.
+  // Replaces missing connections and sends requests at random, sometimes a second one before the response.
   void send_requests() {
     while (accepts_connections_ && clients_.size() < connections_in_use) {
       auto connection = proxy_.connect();
@@ -54,19 +55,19 @@
     std::erase_if(clients_, [](const Client& client) { return !client.connection.is_open(); });
   }
 
-  // Idle clients up to the limit on descriptors.
+  // Connects idle clients up to the limit on descriptors.
   void connect_crowd() {
-    for (int i = 0; i < 120; ++i) crowd_.push_back(proxy_.connect());
+    for (int i = 0; i < 120; ++i) idle_clients_.push_back(proxy_.connect());
   }
 
-  // The process has ended: it accepts no connection.
-  void process_ended() { accepts_connections_ = false; }
+  // Opens no further connection, because the process has ended.
+  void stop_connecting() { accepts_connections_ = false; }
 
  private:
   struct Client {
     TcpConnection connection;
     std::vector<std::string> unanswered;  // ids, in the order of sending
-    bool end_announced = false;           // by the latest response
+    bool end_announced = false;           // whether the latest response announced the end of the connection
   };
 
   void send_request(Client& client) {
@@ -87,12 +88,12 @@
       client.unanswered.erase(client.unanswered.begin());
     }
     if (!ended) return;
-    bool begun = !connection.receive_until_end().empty();
+    bool response_has_begun = !connection.receive_until_end().empty();
     for (const auto& id : std::exchange(client.unanswered, {})) {
       auto& record = requests_[id];
-      record.cut = std::exchange(begun, false);
+      record.truncated = std::exchange(response_has_begun, false);
       bool may_have_crossed = Clock::now() - record.sent_at < crossing_time + tolerance;
-      record.unread = !record.cut && (client.end_announced || may_have_crossed);
+      record.unread = !record.truncated && (client.end_announced || may_have_crossed);
     }
     connection.close();
   }
@@ -101,7 +102,7 @@
   RandomDraws& random_;
   RequestRecords& requests_;
   std::vector<Client> clients_;
-  std::vector<TcpConnection> crowd_;
+  std::vector<TcpConnection> idle_clients_;
   int last_id_ = 0;
   bool accepts_connections_ = true;
 };
--- a/tests/e2e/soak/soak_discovery.hpp
+++ b/tests/e2e/soak/soak_discovery.hpp
@@ -1,4 +1,5 @@
-// Discovery of the soak: pushes or answers with the list, drains an upstream, and moves one to another cell.
+// Discovery of the soak: sends the endpoint list on a watch or as a response, drains one upstream, and moves
+// one to the other cell.
 #pragma once
 
 #include <cstddef>
@@ -20,7 +21,7 @@
   SoakDiscovery(const ProxyProcess& proxy, RandomDraws& random, CellPlacement& cells)
       : proxy_(proxy), random_(random), cells_(cells) {}
 
-  // Gives no answer until then.
+  // Does not accept or answer calls before `time`.
   void hold_answers_until(Clock::time_point time) { answers_from_ = time; }
 
   void serve() {
@@ -33,6 +34,7 @@
     }
   }
 
+  // Serves until the program has opened a watch and is ready.
   void await_endpoint_list() {
     auto until = Clock::now() + ms(wait_limit_ms);
     while (!is_watch_ && Clock::now() < until) serve();
@@ -40,6 +42,7 @@
     }
   }
 
+  // Publishes the drain of a random upstream, once in a run.
   void drain_random_upstream() {
     if (!can_publish() || !drained_at_.empty()) return;
     auto upstream = static_cast<std::size_t>(random_.below(upstream_count));
@@ -48,6 +51,7 @@
     publish(watches_.back(), current_list());
   }
 
+  // Publishes the move of a random upstream to the other cell, once in a run.
   void move_random_upstream() {
     if (!can_publish() || cells_.has_moved()) return;
     auto upstream = static_cast<std::size_t>(random_.below(upstream_count));
@@ -60,7 +64,7 @@
     if (!watches_.empty()) watches_.back().reset();
   }
 
-  // By upstream.
+  // When each draining upstream was published as such, by upstream.
   [[nodiscard]] const std::map<std::size_t, Clock::time_point>& drained_at() const { return drained_at_; }
 
  private:
--- a/tests/e2e/soak/soak_floods.hpp
+++ b/tests/e2e/soak/soak_floods.hpp
@@ -1,4 +1,4 @@
-// Clients that send many requests at once and leave without reading, in an orderly way or with a reset.
+// Clients that send many requests at once and disconnect without reading, with a FIN or a reset.
 #pragma once
 
 #include <string>
@@ -13,12 +13,13 @@
 
 namespace meadowgauge::test {
 
+// Starts floods of such clients at random once enabled.
 class SoakFloods {
  public:
   SoakFloods(const ProxyProcess& proxy, RandomDraws& random, RequestRecords& requests)
       : proxy_(proxy), random_(random), requests_(requests) {}
 
-  // Until then no flood begins.
+  // No flood starts before this call.
   void enable() { enabled_ = true; }
 
   void turn() {
@@ -31,7 +32,7 @@
  private:
   static constexpr int turns_between_floods = 30;
   static constexpr int max_connections = 6;
-  static constexpr int max_requests = 30;  // of a connection
+  static constexpr int max_requests = 30;  // per connection
   static constexpr int max_stay_ms = 40;
 
   struct Client {
@@ -50,7 +51,7 @@
     }
   }
 
-  // All in one write; in half of the floods the last request is incomplete.
+  // Sends all requests in one write. In half of the cases the last request is incomplete.
   void send_requests(TcpConnection connection) {
     std::vector<std::string> ids;
     std::string bytes;
--- a/tests/e2e/soak/soak_run.hpp
+++ b/tests/e2e/soak/soak_run.hpp
@@ -1,5 +1,5 @@
 // One process of the program under load from the soak's clients, with its upstreams and discovery, and its
-// end.
+// exit.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -22,11 +22,12 @@
 
 namespace meadowgauge::test {
 
+// Owns the process and all of its stand-ins. The seed determines every random choice.
 struct SoakRun {
   explicit SoakRun(std::uint32_t seed, bool wait_until_listening = true)
       : random(seed), cells(random), proxy(options_of(seed, cells.current_cells(), wait_until_listening)) {}
 
-  // About a millisecond of load.
+  // Runs about 1 ms of load.
   void turn() {
     std::this_thread::sleep_for(ms(1));
     clients.send_requests();
@@ -43,13 +44,14 @@
     proxy.resume();
   }
 
-  // Goes on with the load until the process has exited; kills it if it runs at the earliest kill.
+  // Continues the load until the process has exited. If it still runs at the time of the earliest SIGKILL,
+  // the test fails and the process is killed.
   void await_exit(Clock::time_point terminated_at) {
     while (!proxy.has_exited() && Clock::now() - terminated_at < kill_delay + tolerance) turn();
-    bool in_time = proxy.has_exited();
-    EXPECT_TRUE(in_time) << "still runs at the earliest kill";
-    if (!in_time) kill(proxy.pid(), SIGKILL);
-    clients.process_ended();
+    bool has_exited_in_time = proxy.has_exited();
+    EXPECT_TRUE(has_exited_in_time) << "still runs at the time of the earliest SIGKILL";
+    if (!has_exited_in_time) kill(proxy.pid(), SIGKILL);
+    clients.stop_connecting();
     EXPECT_FALSE(proxy.connect().is_open()) << "a new connection is not refused";
     clients.receive_responses();
   }
--- a/tests/e2e/soak/soak_settings.hpp
+++ b/tests/e2e/soak/soak_settings.hpp
@@ -1,4 +1,4 @@
-// Settings of the soak's runs, times that its verdicts use, and the draws from a run's seed.
+// Settings of the soak's runs, time limits that its checks use, and the random numbers of a run.
 #pragma once
 
 #include <chrono>
@@ -14,12 +14,12 @@
 constexpr int max_client_timeout_ms = 900;
 constexpr int connections_in_use = 6;
 constexpr int upstream_count = 3;
-// The earliest SIGKILL after SIGTERM: the longest client timeout and 0.7 s.
+// The earliest SIGKILL after SIGTERM: the maximum client timeout plus 0.7 s.
 constexpr auto kill_delay = std::chrono::milliseconds(max_client_timeout_ms + 700);
-// For the test's own delays on a busy machine.
+// Allowance for the test's own delays on a busy machine.
 constexpr auto tolerance = std::chrono::milliseconds(400);
 constexpr auto drain_grace = std::chrono::milliseconds(400 + 50);
-// A request sent so shortly before the end of its connection may have crossed it.
+// A request sent less than this before the end of its connection may have crossed the end in transit.
 constexpr auto crossing_time = std::chrono::milliseconds(250);
 
 inline const std::string soak_settings =
@@ -43,11 +43,11 @@
           .cells = cells};
 }
 
-// The draws of one run, all from its seed.
+// The random numbers of one run, all derived from its seed.
 class RandomDraws {
  public:
   explicit RandomDraws(std::uint32_t seed) : random_(seed) {}
-  // 0 to n - 1.
+  // A random integer from 0 to n - 1.
   int below(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
 
  private:
--- a/tests/e2e/soak/soak_upstreams.hpp
+++ b/tests/e2e/soak/soak_upstreams.hpp
@@ -1,4 +1,4 @@
-// Upstreams of the soak: they answer, fail, reject, reset and hang, and record what they receive.
+// Upstreams of the soak: they succeed, fail, reject, reset and hang at random, and record what they receive.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,6 +18,7 @@
 
 namespace meadowgauge::test {
 
+// Accepts and serves the connections to all upstreams, and checks each received request.
 class SoakUpstreams {
  public:
   SoakUpstreams(const ProxyProcess& proxy, RandomDraws& random, RequestRecords& requests,
@@ -39,7 +40,7 @@
   struct Connection {
     TcpConnection peer;
     std::size_t upstream;
-    std::string request_id;  // not responded to yet; empty: none
+    std::string request_id;  // the request without a response; empty if there is none
     Clock::time_point respond_at;
   };
 
--- a/tests/e2e/upstream_connections_test.cpp
+++ b/tests/e2e/upstream_connections_test.cpp
@@ -1,5 +1,5 @@
-// Upstream connections of the running program: which idle ones are reused, closed or avoided, and what
-// happens to requests that wait for one to be established. The test plays clients, upstreams and discovery
+// Upstream connections of the running program: which idle connections are reused, closed or avoided, and what
+// happens to requests that wait for a connection. The test acts as the clients, the upstreams and discovery
 // over loopback.
 #include <gtest/gtest.h>
 
@@ -16,26 +16,28 @@
 namespace meadowgauge::test {
 namespace {
 
+// Guards against reusing connections to a process that has left or has been replaced.
 TEST(UpstreamConnections, DropsIdleOnesWhenTheUpstreamDepartsOrRestarts) {
   ProxyProcess proxy({.upstreams = 1});
   auto watch = accept_watch(proxy.discovery);
-  int seq = 1;
+  int version = 1;
   for (std::string health : {"left", "active"}) {
     auto client = proxy.connect();
     client.send(http_request("/pay"));
     auto upstream = accept_and_respond(proxy.upstreams[0], ok_response);
     EXPECT_EQ(status_of(client.receive_message()), 200);
-    publish(watch, endpoint_list(++seq, false,
+    publish(watch, endpoint_list(++version, false,
                                  {endpoint_entry(0, proxy.upstreams[0].address(), health,
                                                  health == "left" ? 0 : 1e12)}));
     EXPECT_TRUE(upstream.wait_for_end());
     publish(watch,
-            endpoint_list(++seq, false, {endpoint_entry(0, proxy.upstreams[0].address(), "active", 0)}));
-    publish(watch, endpoint_list(++seq, false, {marker_entry}));
-    proxy.wait_for_log(marker_log);  // by now the previous line has been read
+            endpoint_list(++version, false, {endpoint_entry(0, proxy.upstreams[0].address(), "active", 0)}));
+    publish(watch, endpoint_list(++version, false, {marker_entry}));
+    proxy.wait_for_log(marker_log);  // the program has read the lines before
   }
 }
 
+// Guards against sending a request on an idle connection that the upstream is closing.
 TEST(UpstreamConnections, ClosesIdleOnesBeforeTheUpstreamWould) {
   ProxyProcess proxy(
       {.upstreams = 1, .settings = R"(,"limits":{"conn_idle_ms":300.0,"max_backend_fetches":3})"});
@@ -46,7 +48,8 @@
   EXPECT_TRUE(upstream.wait_for_end());
 }
 
-// A connection lost without a FIN is reset by the next write once the peer is back.
+// Guards against reusing connections that were lost without a FIN, which the next write resets once the peer
+// is back: a request timeout without other traffic closes the idle connections to that upstream.
 TEST(UpstreamConnections, DropsIdleOnesAfterATimeoutWithoutOtherTraffic) {
   ProxyProcess proxy({.upstreams = 1});
   auto one = proxy.connect(), two = proxy.connect();
@@ -65,8 +68,8 @@
   EXPECT_TRUE(second.wait_for_end());
 }
 
-// Bytes after a response may arrive later; they are not the response to the next request.
-TEST(UpstreamConnections, LetsOneSettleBeforeItIsReused) {
+// Guards against taking late bytes after a response as the response to the next request.
+TEST(UpstreamConnections, ReusesAConnectionOnlyAfterItsSettleTime) {
   ProxyProcess proxy({.upstreams = 1, .settings = R"(,"limits":{"settle_ms":600000.0})"});
   auto client = proxy.connect();
   client.send(http_request("/pay"));
@@ -81,7 +84,8 @@
   EXPECT_EQ(status_and_body(client.receive_message()), (std::pair<int, std::string>{200, "done"}));
 }
 
-// A FIN may be lost: once several servers closed idle connections, others of similar age are not reused.
+// Guards against reusing a connection whose FIN was lost: once several servers have closed idle connections,
+// other connections of a similar age are not reused.
 TEST(UpstreamConnections, AvoidsIdleOnesNearTheAgeAtWhichOthersWereClosed) {
   ProxyProcess proxy({.upstreams = 3});
   std::vector<TcpConnection> clients, connections;
@@ -100,11 +104,12 @@
   EXPECT_EQ(proxy.get_status("/-/ready"), 200);
   for (std::size_t i = 0; i < 3; ++i) clients[i].send(http_request("/pay"));
   for (auto& listener : proxy.upstreams)
-    connections.push_back(accept_and_respond(listener, ok_response));  // each has a new connection
+    connections.push_back(accept_and_respond(listener, ok_response));  // each upstream gets a new connection
   EXPECT_TRUE(connections[5].quiet());
 }
 
-// New servers keep appearing, some at the address of a server that the list still has.
+// Guards against connections that are kept after their server was replaced: new servers keep appearing at the
+// address of a server that the list still has.
 TEST(UpstreamConnections, ReleasesAllWhenServersAreReplacedAtOneAddress) {
   ProxyProcess proxy({.upstreams = 1});
   auto watch = accept_watch(proxy.discovery);
@@ -116,7 +121,7 @@
     publish(watch,
             endpoint_list(i + 1, false, {endpoint_entry(i, proxy.upstreams[0].address(), "active", i)}));
     EXPECT_TRUE(upstream.wait_for_end()) << i;
-    // A late entry of the one before, with an older start, changes nothing.
+    // A late entry of the previous server, with an older start time, has no effect.
     if (i % 2 == 0)
       publish(watch, endpoint_list(i + 1, false,
                                    {endpoint_entry(i - 1, proxy.upstreams[0].address(), "leaving", i - 1)}));
@@ -124,13 +129,14 @@
   EXPECT_LT(proxy.descriptor_count(), 24);
 }
 
+// Guards against failing a request whose server does not respond to connection attempts.
 TEST(UpstreamConnections, RetriesElsewhereWhenConnectingTimesOut) {
-  UnresponsiveHost gone;
+  UnresponsiveHost unresponsive_host;
   ListeningSocket other;
-  ProxyProcess proxy(
-      {.settings = R"(,"limits":{"dial_timeout_ms":100.0})"},
-      endpoint_list(1, true,
-                    {endpoint_entry(0, gone.listener.address()), endpoint_entry(1, other.address())}));
+  ProxyProcess proxy({.settings = R"(,"limits":{"dial_timeout_ms":100.0})"},
+                     endpoint_list(1, true,
+                                   {endpoint_entry(0, unresponsive_host.listener.address()),
+                                    endpoint_entry(1, other.address())}));
   for (int i = 0; i < 4; ++i) {
     auto client = proxy.connect();
     client.send(http_request("/pay"));
@@ -139,22 +145,24 @@
   }
 }
 
-// A drain's grace may end before connecting times out.
+// Guards against waiting for the dial timeout when the grace time of a drain ends before it.
 TEST(UpstreamConnections, RetriesElsewhereOnDrainDuringConnect) {
-  UnresponsiveHost gone;
+  UnresponsiveHost unresponsive_host;
   ListeningSocket other;
   ProxyProcess proxy({.settings = R"(,"limits":{"dial_timeout_ms":3600000.0})"},
-                     endpoint_list(1, true, {endpoint_entry(0, gone.listener.address())}));
+                     endpoint_list(1, true, {endpoint_entry(0, unresponsive_host.listener.address())}));
   auto watch = accept_watch(proxy.discovery);
   auto client = proxy.connect();
   client.send(http_request("/pay"));
   publish(watch, endpoint_list(2, false, {endpoint_entry(1, other.address())}));
-  publish(watch, endpoint_list(3, false, {endpoint_entry(0, gone.listener.address(), "leaving")}));
+  publish(watch,
+          endpoint_list(3, false, {endpoint_entry(0, unresponsive_host.listener.address(), "leaving")}));
   auto upstream = accept_and_respond(other, ok_response);
   EXPECT_EQ(status_of(client.receive_message()), 200);
 }
 
-// More requests wait for a server than may connect at a time: each gets its connection, and none times out.
+// Guards against requests that are forgotten while they wait: more requests wait for a server than may dial
+// at a time, and each must get a connection before its timeout.
 TEST(UpstreamConnections, ConnectsForAllThatWaitBeyondTheConcurrentLimit) {
   // A deeper tier, where nothing is rejected for lack of capacity.
   ProxyProcess proxy({.upstreams = 1, .settings = R"(,"stage":1,"stages":["front","back"])"});
--- a/tests/fleet/fleet_limits_test.cpp
+++ b/tests/fleet/fleet_limits_test.cpp
@@ -15,8 +15,8 @@
 
 using test::all_agree;
 using test::index_of;
-using test::one_differs;
-using test::one_unseen;
+using test::one_config_differs;
+using test::one_config_unknown;
 using test::peer;
 using test::terms;
 
@@ -280,7 +280,7 @@
 TEST(FleetLimits, StartWithDifferingFileWaitsForAgreement) {
   SharedLimits shared_limits(terms(2, 100, 20), 1, 1, 0);
   shared_limits.address_acquired(0);
-  shared_limits.update_agreement(one_differs, 2000);
+  shared_limits.update_agreement(one_config_differs, 2000);
   EXPECT_GT(shared_limits.admit(0, 0, 3000), 0);
   EXPECT_TRUE(shared_limits.lendable(3000).empty());
   shared_limits.update_agreement(all_agree, 4000);
@@ -295,7 +295,7 @@
   shared_limits.reload(terms(4, 100, 20), 1200);
   EXPECT_DOUBLE_EQ(shared_limits.quota(0).available_rate(1200), 25);
   shared_limits.reload(terms(2, 100, 20), 1300);
-  for (double t = 1300; t < 4000; t += 100) shared_limits.update_agreement(one_unseen, t);
+  for (double t = 1300; t < 4000; t += 100) shared_limits.update_agreement(one_config_unknown, t);
   EXPECT_DOUBLE_EQ(shared_limits.quota(0).available_rate(4000), 25);
   shared_limits.update_agreement(all_agree, 4000);
   EXPECT_DOUBLE_EQ(shared_limits.quota(0).available_rate(4900), 25);
--- a/tests/policy/load_estimator_test.cpp
+++ b/tests/policy/load_estimator_test.cpp
@@ -53,8 +53,8 @@
   harness.probe_of = [](int) { return LoadReport{2, {400, 0}}; };
   for (int i = 0; i < 40; ++i) harness.submit(0, 5000, 0, 0, 100), harness.pass(30);
   EXPECT_EQ(harness.finals.size(), 40U);
-  EXPECT_GT(harness.advised, 100);
-  EXPECT_LE(harness.advised, 2000);
+  EXPECT_GT(harness.last_retry_after_ms, 100);
+  EXPECT_LE(harness.last_retry_after_ms, 2000);
 }
 
 // A balancer avoids an endpoint after another balancer has reported failures of it. Truncated, altered or
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -68,7 +68,7 @@
 // and run the request again.
 TEST(RetryPolicy, RetryIsSentWithinTheKeyWindow) {
   constexpr double window_ms = 1000;
-  PolicyHarness harness({.ttl = window_ms, .copies = false}, 4, 3);
+  PolicyHarness harness({.dedup_window_ms = window_ms, .copies = false}, 4, 3);
   int id = harness.submit(2, 5000);
   EXPECT_EQ(harness.policy.attempt_timeout(harness.requests.at(id).v, harness.now_ms).send_by_ms, never);
   harness.pass(300);
@@ -83,7 +83,7 @@
 // cannot be found from the log of a single run.
 TEST(RetryPolicy, JudgementUsesEarliestAttemptThatMayHaveRun) {
   constexpr double window_ms = 1000;
-  PolicyHarness harness({.ttl = window_ms, .copies = false}, 4, 3);
+  PolicyHarness harness({.dedup_window_ms = window_ms, .copies = false}, 4, 3);
   auto judgement = [&](int id) {
     return harness.policy.repeat_judgement(harness.requests.at(id).v, harness.now_ms);
   };
@@ -110,20 +110,20 @@
   int rejected = 0;
   for (double max_retry_after_ms : {200.0, 5000.0})
     for (double waited_ms : {5.0, 400.0, 850.0}) {
-      PolicyHarness harness({.ttl = window_ms, .copies = false}, 4, 3,
+      PolicyHarness harness({.dedup_window_ms = window_ms, .copies = false}, 4, 3,
                             {{"limits.retry_after", "true"},
                              {"limits.max_retry_after_ms", std::to_string(max_retry_after_ms)}});
       int id = harness.submit(2, 5000);
       double sent_at_ms = harness.now_ms;
       feed(harness, 0, 300);
       harness.pass(waited_ms);
-      harness.advised = 0;
+      harness.last_retry_after_ms = 0;
       harness.end(id, 0, Outcome::reset);
       ASSERT_TRUE(harness.finals.contains(id));
       if (harness.finals.at(id) != Decision::reject) continue;
       ++rejected;
-      EXPECT_GT(harness.advised, 0);
-      EXPECT_LE(harness.now_ms + harness.advised, sent_at_ms + window_ms)
+      EXPECT_GT(harness.last_retry_after_ms, 0);
+      EXPECT_LE(harness.now_ms + harness.last_retry_after_ms, sent_at_ms + window_ms)
           << max_retry_after_ms << " " << waited_ms;
     }
   EXPECT_EQ(rejected, 2);  // the cases in which the client returns before the window ends
@@ -135,7 +135,7 @@
   constexpr double window_ms = 1000;
   constexpr double body_took_ms = 500;
   constexpr double answered_after_ms = 450;
-  PolicyHarness harness({.ttl = window_ms, .copies = false}, 4, 3);
+  PolicyHarness harness({.dedup_window_ms = window_ms, .copies = false}, 4, 3);
   Request request{.request_class = 2,
                   .arrived_ms = harness.now_ms,
                   .deadline_ms = harness.now_ms + 60000,
--- a/tests/proxy/discovery/discovery_watch_content_test.cpp
+++ b/tests/proxy/discovery/discovery_watch_content_test.cpp
@@ -16,14 +16,14 @@
   ClientFixture fixture;
   DiscoveryStandIn other(fixture.loop);
   fixture.move_to(other);
-  EXPECT_TRUE(fixture.take_call(other).starts_with("GET /api/targets?watch=1&after=5 "));
+  EXPECT_TRUE(fixture.accept_request(other).starts_with("GET /api/targets?watch=1&after=5 "));
   fixture.open_watch(other, R"({"seq":6,"whole":false,"hosts":[]})");
   fixture.advance_to(fixture.now_ms + 100);
-  fixture.blank_line(other);
-  EXPECT_EQ(fixture.take_call(other), "");
+  fixture.send_blank_line(other);
+  EXPECT_EQ(fixture.accept_request(other), "");
   fixture.advance_to(fixture.now_ms + 400);
-  fixture.blank_line(other);
-  EXPECT_TRUE(fixture.take_call(other).starts_with("GET /api/targets HTTP"));
+  fixture.send_blank_line(other);
+  EXPECT_TRUE(fixture.accept_request(other).starts_with("GET /api/targets HTTP"));
   std::string list = R"({"seq":7,"whole":true,"hosts":[]})";
   other.send_bytes("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list);
   fixture.turn();
@@ -37,9 +37,9 @@
   ClientFixture fixture;
   DiscoveryStandIn other(fixture.loop);
   fixture.move_to(other);
-  ASSERT_FALSE(fixture.take_call(other).empty());
+  ASSERT_FALSE(fixture.accept_request(other).empty());
   fixture.open_watch(other, R"({"seq":2,"whole":false,"hosts":[]})");
-  EXPECT_TRUE(fixture.take_call(other).starts_with("GET /api/targets HTTP"));
+  EXPECT_TRUE(fixture.accept_request(other).starts_with("GET /api/targets HTTP"));
 }
 
 // Guards against a watch that stops when an overloaded discovery refuses the complete list.
@@ -47,15 +47,15 @@
   ClientFixture fixture;
   DiscoveryStandIn other(fixture.loop);
   fixture.move_to(other);
-  ASSERT_FALSE(fixture.take_call(other).empty());
+  ASSERT_FALSE(fixture.accept_request(other).empty());
   fixture.open_watch(other, R"({"seq":6,"whole":false,"hosts":[]})");
   fixture.advance_to(fixture.now_ms + 500);
-  fixture.blank_line(other);
-  ASSERT_TRUE(fixture.take_call(other).starts_with("GET /api/targets HTTP"));
+  fixture.send_blank_line(other);
+  ASSERT_TRUE(fixture.accept_request(other).starts_with("GET /api/targets HTTP"));
   other.send_bytes("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
   fixture.turn();
   fixture.advance_to(fixture.now_ms + 200);
-  EXPECT_TRUE(fixture.take_call(other).starts_with("GET /api/targets?watch=1&after=6 "));
+  EXPECT_TRUE(fixture.accept_request(other).starts_with("GET /api/targets?watch=1&after=6 "));
 }
 
 // A local agent sends the complete list without load on other balancers, and its drains apply after a short
@@ -64,7 +64,7 @@
   ClientFixture fixture(7, 250);
   DiscoveryStandIn other(fixture.loop);
   fixture.move_to(other);
-  EXPECT_TRUE(fixture.take_call(other).starts_with("GET /api/targets HTTP"));
+  EXPECT_TRUE(fixture.accept_request(other).starts_with("GET /api/targets HTTP"));
 }
 
 // Guards against a lost drain: an unreadable line may contain one, so the watch is reopened from the last
--- a/tests/proxy/upstream/idempotency_model_servers.cpp
+++ b/tests/proxy/upstream/idempotency_model_servers.cpp
@@ -74,8 +74,10 @@
 
 Settings IdempotencyModel::policy_settings() const {
   double configured_window_ms = window_ms_ * settings_.configured_window_ratio;
-  auto settings = settings_of(
-      {.initial_share = 1, .slow_start_ms = 1, .ttl = configured_window_ms, .copies = settings_.hedging});
+  auto settings = settings_of({.initial_share = 1,
+                               .slow_start_ms = 1,
+                               .dedup_window_ms = configured_window_ms,
+                               .copies = settings_.hedging});
   settings["limits.retry_after"] = "true";
   settings["limits.max_retry_after_ms"] = "2000";
   return settings;
--- a/tests/proxy/upstream/idempotency_random_test.cpp
+++ b/tests/proxy/upstream/idempotency_random_test.cpp
@@ -77,7 +77,7 @@
   };
 
   [[nodiscard]] Settings settings() const {
-    auto s = settings_of({.ttl = key_ttl_ms_, .copies = has_hedging_});
+    auto s = settings_of({.dedup_window_ms = key_ttl_ms_, .copies = has_hedging_});
     s["limits.retry_after"] = "true";
     s["limits.max_retry_after_ms"] = "2000";
     return s;
