--- a/src/policy/policy_settings.hpp
+++ b/src/policy/policy_settings.hpp
@@ -23,8 +23,8 @@
 struct RequestClassSettings {
   Idempotency idempotency = Idempotency::non_idempotent;
   DeduplicationGroup group = DeduplicationGroup::cell;
-  double key_ttl_ms = 0;               // how long servers remember an idempotency key
-  double latency_objective_ms = 1000;  // latency objective
+  double key_ttl_ms = 0;  // how long servers remember an idempotency key
+  double latency_objective_ms = 1000;
   double priority_weight = 1;
 
   // Returns whether another attempt may follow an attempt that may have run.
--- a/src/proxy/request/forwarder.cpp
+++ b/src/proxy/request/forwarder.cpp
@@ -19,8 +19,7 @@
 constexpr double probe_limit_ms = 1000;
 // Time reserved for a response to reach the client after its last byte is written.
 constexpr double delivery_delay_ms = 2;
-// Deadline of a request while its body is being received. DownstreamConnections enforces that the client
-// makes progress.
+// Deadline while a request's body is being received. DownstreamConnections enforces the client's progress.
 constexpr double max_body_ms = 3600000;
 
 // Set in the AttemptId of a health check or load probe.
@@ -164,8 +163,7 @@
   if (it == unanswered_.end()) return;  // the final response is being sent
   auto number = it->second;
   const auto& request = in_flight_.at(number);
-  // A streaming body can't complete without the client, so its attempt is cancelled whatever the policy
-  // decides.
+  // A streaming body can't complete without the client: cancel its attempt whatever the policy decides.
   bool body_streams = request.body_incoming || requests_.is_responding(number);
   unanswered_.erase(it);
   unanswered_ids_.erase(request.message->find(names::request_id));
@@ -218,8 +216,7 @@
   return it->second.client;
 }
 
-// The first response that starts to stream is the request's final response. If it breaks, the request is not
-// retried.
+// The first response that starts to stream is the final one: if it breaks, the request is not retried.
 void RequestForwarder::response_started(AttemptEvent& event) {
   auto number = request_number_of(event.attempt);
   int attempt = attempt_number_of(event.attempt);
@@ -261,8 +258,7 @@
     if (request.message->partly_forwarded()) requests_.body_forwarded(number);
     streaming = requests_.is_responding(number) && request.latest_attempt == attempt;
   }
-  // Forwarding a response needs no decision of the policy: attempt_ended() below reports the request as
-  // closed.
+  // Forwarding a response needs no policy decision: attempt_ended() below reports the request as closed.
   if (open && streaming) {
     ClientId client = close_request(number);
     if (succeeded)
